--- a/packages/decisions/fleet_placement.cc
+++ b/packages/decisions/fleet_placement.cc
@@ -10,41 +10,41 @@
 namespace hickorystand {
 namespace {
 
-// Weight of the newest outcome in an endpoint's failure share: about ten
-// outcomes are remembered.
+// Weight of the newest outcome in an endpoint's failure share, which averages
+// about ten outcomes.
 constexpr double kOutcomeWeight = 0.15;
 
-// Weight of the newest measurement of an engine's slowness, and the prompt
-// tokens that it needs: on short readings other delays weigh more.
+// Weight of the newest measurement of an engine's slowness, and the fewest
+// prompt tokens for a measurement: for short prompts, other delays dominate.
 constexpr double kSlownessWeight = 0.12;
 constexpr int64_t kLeastMeasured = 2000;
 
-// Weight of the newest pause between two events of a stream, and how long what
-// was measured holds without a newer one.
+// Weight of the newest pause between two events of a stream, and how long the
+// mean stays valid without a new pause.
 constexpr double kPauseWeight = 0.03;
 constexpr Duration kPauseMemory = std::chrono::seconds(2);
 
-// The most that long pauses raise the cost of reading among streams.
+// Upper bound of the factor by which long pauses raise the prefill penalty.
 constexpr double kMostPauseShare = 3;
 
-// Without a refusal for so long, an overload is over.
+// An overload ends after this long without a refusal.
 constexpr Duration kOverloadPause = std::chrono::milliseconds(300);
 
-// The target latency of requests whose route has none.
+// Target latency of requests whose route has none.
 constexpr Duration kUsualTarget = std::chrono::milliseconds(600);
 
 // Weight of the newest duration of a plain call.
 constexpr double kPlainWeight = 0.1;
 
-// A place in [0, 1) for a part at an endpoint, the same on every host.
+// Maps a part and an endpoint to [0, 1), identically on every host.
 double HashPlace(uint64_t part, const EndpointId& endpoint) {
   const std::string& id = endpoint.Text();
   const uint64_t hash = XXH3_64bits_withSeed(id.data(), id.size(), part);
   return static_cast<double>(hash >> 11) / static_cast<double>(1ULL << 53);
 }
 
-// The part that a prompt shares with others and that is the longest to read
-// up to: the last but one. The last one is the request's own.
+// The longest shared part of a prompt, the key of rendezvous hashing: the last
+// but one, since the last part is specific to the request.
 uint64_t AffinityOf(const WorkShape& shape) {
   if (shape.parts.empty()) {
     return 0;
@@ -52,7 +52,7 @@
   return shape.parts[shape.parts.size() > 1 ? shape.parts.size() - 2 : 0].part;
 }
 
-// The tokens of a request's prompt that an engine keeps.
+// The number of the prompt's tokens that an engine has cached.
 int64_t KeptOf(const EngineCache& cache,
                const WorkShape& shape,
                bool confirmed_only) {
@@ -167,8 +167,8 @@
          state.failure_share * ToSeconds(this->options.failure_penalty);
 }
 
-// What speaks against generating there: the requests that run there already,
-// and that the engine may be reclaimed.
+// Penalty for generating on an engine: for the requests that run there, and
+// because a spot engine may be reclaimed.
 double FleetPlacement::StreamPenalty(const State& state,
                                      const WorkShape& shape) const {
   const double taken =
@@ -207,8 +207,8 @@
              : shape.prompt_tokens - KeptOf(found->second.cache, shape, false);
 }
 
-// The engine that keeps the most of a prompt's start. One that leaves still
-// gives copies.
+// The engine with the longest cached prefix of the prompt. A draining engine
+// still serves as a transfer source.
 FleetPlacement::Source FleetPlacement::BestSource(
     const WorkShape& shape) const {
   Source best;
@@ -256,8 +256,8 @@
   known.last = now;
 }
 
-// How near the pauses of a service's streams are to being too long: 0 while
-// they are short, 1 and more where reading must not make them longer.
+// How close the pauses of a service's streams are to the allowed pause: 0 while
+// they are short; from 1 on, prefill must not lengthen them further.
 double FleetPlacement::PauseShare(Instant now,
                                   const ServiceId& service,
                                   double target) const {
@@ -272,9 +272,9 @@
       kMostPauseShare);
 }
 
-// What reading at an engine that generates costs the streams that run there.
-// Between two of their tokens it reads a piece, so that on slow engines a
-// stream of many tokens missed its deadline while prompts were read all along.
+// Penalty for prefill on a decode engine. The engine prefills a chunk between
+// two tokens of its streams; on slow engines, continuous prefill made streams
+// with many tokens miss their deadline.
 double FleetPlacement::DecodeStall(Instant now,
                                    const State& state,
                                    const WorkShape& shape,
@@ -310,7 +310,8 @@
       copied > 0
           ? pace.Copying(copied) * (source.zone == state.endpoint.zone ? 1 : 2)
           : 0;
-  // What only this request has must be read anywhere; the rest is a miss.
+  // The request's own last part must be prefilled on any engine; the rest is a
+  // cache miss.
   const int64_t own = shape.parts.empty() ? 0 : shape.parts.back().tokens;
   const double missed = static_cast<double>(std::max<int64_t>(fresh - own, 0));
   const bool reader = state.endpoint.role == EndpointRole::kPrefill;
@@ -337,8 +338,9 @@
           .reader = reader};
 }
 
-// Adds to each engine's score its place in the order of the prompt's longest
-// shared part. Engines come first in proportion to their reading rate.
+// Adds a penalty for each engine's rank in the weighted rendezvous order of the
+// prompt's longest shared part. An engine comes first in proportion to its
+// prefill rate.
 void FleetPlacement::AddRendezvousPenalty(const WorkShape& shape,
                                           std::vector<Weighed>& weighed) const {
   struct Place {
@@ -383,8 +385,8 @@
                          : seconds};
 }
 
-// Refuses what can't be served in time anywhere, and what would have to wait so
-// long that all who wait are late.
+// Refuses a request that no endpoint can answer in time, or whose queueing time
+// would make every queued request late.
 std::optional<Refused> FleetPlacement::RefuseIfTooLate(
     const WorkShape& shape,
     const std::vector<Weighed>& weighed,
@@ -481,8 +483,8 @@
       continue;
     }
     const EndpointOutstanding others = this->PeerWork(id);
-    // The answer waits for a piece of the prompts that are read there, and
-    // moving memory to another zone takes twice as long and costs more.
+    // The answer waits for a prefill chunk on that engine, and the KV transfer
+    // to another zone takes twice as long and costs more.
     const bool far = from != this->states.end() &&
                      from->second.endpoint.zone != state.endpoint.zone;
     const double score =
@@ -517,8 +519,8 @@
       .sent = now};
   state.waiting_tokens += sent.new_tokens;
   ++state.running;
-  // Kept from the start: the next request with the same parts that comes here
-  // while this one is read waits for it and finds them.
+  // Inserted before the prefill is done: the next request with the same parts
+  // at this engine waits for the prefill and finds them cached.
   for (const PartTokens& part : shape.parts) {
     state.cache.Keep(part, this->CacheRoom(shape.service), false);
   }
@@ -533,8 +535,8 @@
              : nullptr;
 }
 
-// Compares how long a prompt took to be read with what is usual. Engines of one
-// service differ, and one that turns slow shows nowhere else.
+// Compares a prompt's prefill time with the service's usual one. Engines of one
+// service differ in speed, and nothing else shows that one has become slow.
 void FleetPlacement::LearnSlowness(Duration took,
                                    const Work& work,
                                    State& state) {
@@ -600,8 +602,8 @@
       return;
     }
     state->waiting_tokens -= over.mapped().what.new_tokens;
-    // Nobody knows how far it was read. Believed to be kept, it would draw the
-    // same prompt here again.
+    // It is not known how much was prefilled. An unconfirmed entry would
+    // attract the same prompt to this engine again.
     for (const PartTokens& part : over.mapped().parts) {
       state->cache.DropUnconfirmed(part.part);
     }
@@ -656,7 +658,8 @@
           ? this->options.eject_for
           : std::min(state.ejection * 2, this->options.eject_at_most);
   state.out_until = now + state.ejection;
-  // The next failure puts it out again: one request is the probe.
+  // The next failure ejects the endpoint again: one request serves as the
+  // probe.
   state.failures_in_row = this->options.failures_to_eject - 1;
 }
 
--- a/packages/decisions/fleet_placement.h
+++ b/packages/decisions/fleet_placement.h
@@ -1,21 +1,25 @@
-// Which endpoint takes a request, and whether it can be served at all.
+// Selects the endpoint for a request, or refuses the request.
 //
-// An engine's prompt work decides: prompts are long, share most of their parts,
-// and ask for nearly all that the engines can read, or more. So requests go
-// where their prompt's parts are kept, as long as the work that waits there
-// doesn't cost more than reading them again somewhere else.
+// Engine load is dominated by prefill: prompts are long, share most of their
+// parts, and together need nearly all the prefill capacity of the engines, or
+// more. Requests therefore go to the engine that has their prompt parts cached,
+// unless the prefill queue there costs more than recomputing the parts on
+// another engine.
 //
 //   score = (queued prefill tokens + the prompt's cache misses) / prefill rate
 //
-// The rates are learned as requests run (engine_pace.h). What another engine
-// has cached is transferred from there rather than recomputed. Without cache
-// information all hosts rank engines alike, by rendezvous hashing.
+// The lowest score wins. Prefill rates are estimated from completed requests
+// (engine_pace.h). Prefixes that another engine has cached are transferred from
+// it instead of being recomputed. Without cache information, all hosts rank
+// engines in the same order, by rendezvous hashing.
 //
 // Index
-//   PlacementOptions, ServiceShare  how it is set
-//   WorkShape                       a request as far as placing goes
-//   Placed, Refused, Verdict        where to, or why not
-//   FleetPlacement                  the decision
+//   PlacementOptions                  penalties, limits and times
+//   ServiceParameters                 a service's limits for this host
+//   RequestProfile                    request properties used for placement
+//   PlacementTarget, PlacementRefusal, PlacementResult
+//                                     the endpoint, or the reason for refusal
+//   FleetPlacement                    the placement state of one host
 
 #pragma once
 
@@ -37,120 +41,126 @@
 
 namespace hickorystand {
 
-// How placing is set.
+// Penalties, limits and times. Penalties are added to the score, in seconds or
+// as a share of the time named.
 struct PlacementOptions {
-  EnginePaceOptions pace;  // of engines that weren't measured yet
-  // Prompt tokens that an engine keeps, where the configuration doesn't say.
+  EnginePaceOptions pace;  // until the first measurement
+  // Prompt tokens that an engine caches, if the configuration does not specify
+  // it.
   int64_t cache_tokens = 420000;
   ZoneId zone;  // of this host
-  // What another zone costs in score, as a share of the request's target
-  // latency: bodies that cross zones are billed.
+  // Penalty for an endpoint in another zone, as a share of the request's target
+  // latency: request bodies that cross zones are billed.
   double other_zone = 0.025;
-  // What an endpoint without an open connection from this host costs in score,
-  // as a share of the target latency: new connections are billed.
+  // Penalty for an endpoint to which this host has no open connection, as a
+  // share of the target latency: new connections are billed.
   double new_connection = 0.03;
-  // What handing a prefilled prompt to an engine of another zone costs in
-  // score, as a share of the time that prefilling it takes: the transfer takes
-  // twice as long, and is billed more.
+  // Penalty for handing a prefilled prompt to an engine in another zone, as a
+  // share of the prompt's prefill time: the transfer takes twice as long and is
+  // billed at a higher rate.
   double other_zone_handover = 0.15;
-  // Each shared part ranks the engines by rendezvous hashing, the same on every
-  // host, so that hosts without cache information choose the same engine. Each
-  // rank below the first costs the time to prefill this many tokens, or all
-  // that are shared, up to so many ranks.
+  // Rendezvous hashing of the longest shared part ranks the engines,
+  // identically on every host, so that hosts without cache information choose
+  // the same engine. Each rank below the first adds the time to prefill this
+  // many tokens (or all shared tokens, if fewer), up to `rendezvous_ranks`
+  // ranks.
   int64_t rendezvous_rank_penalty_tokens = 1500;
   int64_t rendezvous_ranks = 4;
-  // Minimum KV transfer, in tokens.
+  // Smallest KV transfer, in tokens.
   int64_t minimum_kv_transfer = 512;
-  // Weight of recomputing a cached prefix: it also takes engine time from other
-  // requests.
+  // Weight of recomputing a cached prefix. More than 1, since recomputing also
+  // takes engine time from other requests.
   double miss_weight = 1.5;
-  // Prefill on a decode engine stalls its streams; what each stalled stream
-  // adds to the score, as a share of the prefill time.
+  // Prefill on a decode engine stalls its streams. Penalty for each stalled
+  // stream, as a share of the prefill time.
   double decode_stall_weight = 0.15;
-  // A stall longer than this share of the allowed pause makes all its streams
-  // late, which costs `pause_penalty` times that pause.
+  // A stall longer than this share of the allowed pause makes all streams of
+  // the engine late, which costs `pause_penalty` times that pause.
   double longest_decode_stall = 0.67;
   double pause_penalty = 1.67;
-  // Mean pause in streams, as a share of the allowed pause, from which long
-  // prefills on decode engines cost something, and at which they cost
-  // `pause_penalty` times that pause.
+  // Mean pause in streams, as a share of the allowed pause, at which long
+  // prefills on decode engines start to be penalised, and at which the penalty
+  // reaches `pause_penalty` times that pause.
   double pause_free = 0.5;
   double pause_full = 1;
-  // Prompts up to this many tokens are exempt from it.
+  // Prompts up to this many tokens are exempt from that penalty.
   int64_t short_prompt = 600;
-  // What an engine with all slots taken costs in score when one more request is
-  // to run there, as a share of the target latency; half as many taken cost a
-  // quarter of it.
+  // Penalty for generating on an engine with all slots taken, as a share of the
+  // target latency. It grows with the square of the share of slots taken: with
+  // half of them it is a quarter.
   double full_slots = 0.5;
-  // What generating at a spot engine costs in score, as a share of the target
-  // latency: when it is reclaimed, its streams break. It also keeps spot
-  // engines free to take the other role.
+  // Penalty for generating on a spot engine, as a share of the target latency:
+  // reclaiming the engine breaks its streams. It also keeps spot engines free
+  // to change to the prefill role.
   double spot_streams = 0.1;
-  // Longest wait for other prompts' prefill, as a share of the target latency.
-  // Under overload a longer queue only makes every request in it late.
+  // Longest wait for queued prefill, as a share of the target latency. Under
+  // overload, a longer queue only makes every request in it late.
   double longest_wait = 0.75;
-  // How far an engine's measured slowness may go from what is usual.
+  // Bounds of an engine's slowness, relative to the service's usual rate.
   double least_slowness = 0.6;
   double most_slowness = 5;
-  // An engine that refused a call for its role is left alone for so long: the
-  // change shows in its next heartbeat and the next reading of the list.
+  // How long an engine is excluded after it refused a call because of its role:
+  // the role change shows in the engine's next heartbeat and the next read of
+  // the endpoint list.
   Duration role_unknown_for = std::chrono::milliseconds(1800);
-  // What a failure of late costs in score, at a failure share of 1.
+  // Penalty at a failure share of 1.
   Duration failure_penalty = std::chrono::milliseconds(1500);
-  // An endpoint that failed so often in a row gets nothing for a while.
+  // An endpoint is ejected after this many consecutive failures, first for
+  // `eject_for`, then for twice as long each time, up to `eject_at_most`.
   int64_t failures_to_eject = 3;
   Duration eject_for = std::chrono::seconds(1);
   Duration eject_at_most = std::chrono::seconds(8);
-  // Time of a plain service's call until one was measured.
+  // Duration of a plain service's call until the first measurement.
   Duration plain_time = std::chrono::milliseconds(60);
-  // Calls that an endpoint of a plain service lets wait for each slot.
+  // Calls that may queue per slot at an endpoint of a plain service.
   double plain_queue = 3;
 };
 
-// What a service's endpoints allow to this host.
+// A service's limits and targets, as they apply to this host.
 struct ServiceShare {
-  // Requests that this host may have at one endpoint at once.
+  // Concurrent requests from this host per endpoint.
   int64_t requests_at_once = INT64_MAX;
-  // Prompt tokens that an engine keeps for later prompts; 0: not known.
+  // Prompt tokens that an engine caches; 0: unknown.
   int64_t cache_tokens = 0;
-  // Tokens a second that engines copy from each other; 0: not known.
+  // Tokens per second that engines transfer from each other; 0: unknown.
   double copied_tokens = 0;
-  // The longest pause in a stream that is on time; 0: not known.
+  // Longest pause in a stream that is still on time; 0: unknown.
   Duration pause_target{};
 
   auto operator<=>(const ServiceShare&) const = default;
 };
 
-// A request as far as placing goes.
+// The properties of a request that placement uses.
 struct WorkShape {
   ServiceId service;
   bool engine = false;
   int64_t prompt_tokens = 0;
   std::vector<PartTokens> parts;
-  Duration target{};  // to the first byte, for an answer that is on time
-  // The longest that the first byte may take; beyond it, refusing at once
-  // serves the caller better.
+  Duration target{};  // to the first byte of an answer that is on time
+  // Longest acceptable time to the first byte. If it can't be met, the caller
+  // is better served by an immediate refusal.
   Duration patience = std::chrono::seconds(2);
-  // Its caller has got a part of the answer, or it may have run: a long queue
-  // is no reason to give it up.
+  // Part of the answer was sent to the caller, or the request may have run: it
+  // is not refused because of a long queue.
   bool begun = false;
 
   auto operator<=>(const WorkShape&) const = default;
 };
 
-// Where a request goes.
+// The endpoint for a request. If `reader` is set, that engine prefills the
+// prompt and hands it over to `endpoint`, which generates.
 struct Placed {
   EndpointId endpoint;
-  std::optional<EndpointId> reader;     // reads the prompt first, if another
-  std::optional<EndpointId> copy_from;  // keeps more of the prompt's start
-  int64_t new_tokens = 0;               // that the first of them has to read
-  int64_t copied_tokens = 0;            // that it fetches
-  Duration expected{};                  // to the first byte
+  std::optional<EndpointId> reader;     // prefills the prompt
+  std::optional<EndpointId> copy_from;  // source of the cached prefix
+  int64_t new_tokens = 0;               // to prefill, at the first engine
+  int64_t copied_tokens = 0;            // transferred from `copy_from`
+  Duration expected{};                  // time to the first byte
 
   auto operator<=>(const Placed&) const = default;
 };
 
-// Why a request can't be served, and when it may be.
+// Why a request is refused, and after how long the caller may retry.
 struct Refused {
   std::string reason;
   Duration retry_after{};
@@ -160,121 +170,128 @@
 
 using Verdict = std::variant<Placed, Refused>;
 
-// Names one piece of work at an endpoint.
+// Identifies a request at an endpoint; 0: none.
 using WorkId = uint64_t;
 
-// What an endpoint was sent.
+// The work that a request puts on an endpoint.
 struct SentWork {
-  int64_t new_tokens = 0;     // that it has to read
-  int64_t copied_tokens = 0;  // that it fetches from another engine
-  bool prompt_read = false;   // by another engine, which hands it over
+  int64_t new_tokens = 0;     // to prefill
+  int64_t copied_tokens = 0;  // transferred from another engine
+  bool prompt_read = false;   // prefilled by another engine and handed over
 
   auto operator<=>(const SentWork&) const = default;
 };
 
-// What one host tells another of a service's engines.
+// Rate estimates of each service's engines, exchanged between hosts.
 using PaceByService = std::map<ServiceId, PaceFigures>;
 
-// Everything that placing knows, on one host.
+// Scores endpoints and tracks what placement depends on: each endpoint's cache,
+// queued prefill, running requests, failures and rates. One object per host.
 class FleetPlacement {
  public:
   explicit FleetPlacement(PlacementOptions options)
       : options(std::move(options)), unmeasured(this->options.pace) {}
 
-  // All endpoints there are. Those whose process is another one than before
-  // start with nothing kept.
+  // Replaces the list of endpoints. An endpoint whose process has restarted
+  // starts with an empty cache and no load.
   void SetEndpoints(const FleetEndpoints& endpoints);
 
-  // Tells whether this host has an open connection to an endpoint that is idle.
-  // Without it none counts as new.
+  // Sets the function that returns whether this host has an idle open
+  // connection to an endpoint. If it isn't set, every endpoint counts as
+  // connected.
   void SetConnected(std::function<bool(const FleetEndpoint&)> connected) {
     this->connected = std::move(connected);
   }
 
-  // What a service allows from now on.
+  // Replaces a service's parameters.
   void SetServiceShare(const ServiceId& service, const ServiceShare& share);
 
-  // Chooses for a request that was not at `tried` before.
+  // Selects an endpoint that is not in `tried`, the endpoints at which the
+  // request was already attempted.
   Verdict Place(Instant now,
                 const WorkShape& shape,
                 const std::set<EndpointId>& tried) const;
 
-  // Chooses who answers once `reader` has read the prompt.
+  // Selects the engine that generates, after `reader` has prefilled the prompt.
   std::optional<EndpointId> PlaceAnswer(
       Instant now,
       const WorkShape& shape,
       const EndpointId& reader,
       const std::set<EndpointId>& tried) const;
 
-  // A request was refused with room expected after `until_room`; the time after
-  // which its caller should come back. Bursts that have lasted for long go on
-  // for long, and who comes back before the end is refused again.
+  // Records that a request was refused and that capacity is expected after
+  // `until_room`. Returns the Retry-After delay: at least as long as the
+  // overload has lasted so far. Bursts that have lasted long tend to go on for
+  // long, and a caller that retries before the end is refused again.
   Duration OnRefused(Instant now,
                      const ServiceId& service,
                      Duration until_room);
 
-  // A request was sent.
+  // Records that a request was sent to an endpoint.
   WorkId OnSent(Instant now,
                 const EndpointId& endpoint,
                 const WorkShape& shape,
                 const SentWork& sent);
 
-  // Its prompt is read: the first byte of the answer came.
+  // Records that the prompt is prefilled: the first byte of the answer arrived.
   void OnPromptRead(Instant now, WorkId work);
 
-  // It is over.
+  // Records that the request ended.
   void OnEnded(Instant now, WorkId work);
 
-  // An endpoint refused a call that its role doesn't allow: the list is behind.
+  // Records that an endpoint refused a call because of its role: the endpoint
+  // list is stale.
   void OnWrongRole(Instant now, const EndpointId& endpoint);
 
-  // Endpoints that another host says must get nothing now. Replaces what that
-  // host said before.
+  // Excludes endpoints that another host reports as unavailable. Replaces that
+  // host's previous report.
   void SetAway(const HostId& host, std::set<EndpointId> endpoints);
 
-  // What an engine keeps of a part changed; `tokens` 0: nothing is left.
+  // Updates an engine's cached part from a cache event; `tokens` 0: evicted.
   void OnCache(const EndpointId& endpoint, const PartTokens& part);
 
-  // The engine's cache is to be learned anew.
+  // Clears the engine's cache contents, which are then reported anew.
   void ForgetCache(const EndpointId& endpoint);
 
-  // Whether this run of an endpoint is the one that is listed.
+  // Whether the run is the listed run of its endpoint.
   bool Knows(const EndpointRun& run) const;
 
-  // What an engine is known to keep, least recently used first.
+  // The parts that an engine has confirmed as cached, least recently used
+  // first.
   std::vector<PartTokens> ConfirmedParts(const EndpointId& endpoint) const;
 
-  // A stream of a service paused for so long between two events.
+  // Records the pause between two events of one of the service's streams.
   void OnPause(Instant now, const ServiceId& service, Duration pause);
 
-  // What became of a request at an endpoint, for its failure share.
+  // Records whether a request succeeded, for the endpoint's failure share and
+  // ejection.
   void OnOutcome(Instant now, const EndpointId& endpoint, bool good);
 
-  // A plain service's call took so long.
+  // Records the duration of a plain service's call.
   void OnPlainTime(const ServiceId& service, Duration took);
 
-  // Work of other hosts, which replaces what the host told before.
+  // Replaces the outstanding work that another host has reported.
   void OnPeerWork(const HostId& host,
                   const std::vector<EndpointOutstanding>& work);
   void ForgetPeer(const HostId& host);
 
-  // This host's work, for the others.
+  // This host's outstanding work, to be reported to other hosts.
   std::vector<EndpointOutstanding> OwnWork() const;
 
-  // The prompt tokens that an endpoint would have to read.
+  // Prompt tokens that an endpoint would have to prefill.
   int64_t NewTokens(const EndpointId& endpoint, const WorkShape& shape) const;
 
-  // Whether an endpoint may get anything new.
+  // Whether an endpoint accepts new requests.
   bool Usable(Instant now, const EndpointId& endpoint) const;
 
   // Requests of all hosts that run at an endpoint.
   int64_t Running(const EndpointId& endpoint) const;
 
-  // How fast a service's engines are.
+  // Rate estimates of a service's engines.
   const EnginePace& Pace(const ServiceId& service) const;
 
-  // What was measured here, for hosts that have just started, and what another
-  // host has measured.
+  // Rate estimates measured on this host, for hosts that have just started, and
+  // adoption of those that another host measured.
   PaceByService OwnPace() const;
   void AdoptPace(const PaceByService& told);
 
@@ -282,9 +299,9 @@
   struct State {
     FleetEndpoint endpoint;
     EngineCache cache;
-    int64_t waiting_tokens = 0;  // of this host's work, not yet read
-    int64_t running = 0;         // this host's work
-    double slowness = 1;         // measured reading time over what is usual
+    int64_t waiting_tokens = 0;  // of this host, not yet prefilled
+    int64_t running = 0;         // requests of this host
+    double slowness = 1;         // measured prefill time / usual prefill time
     double failure_share = 0;
     int64_t failures_in_row = 0;
     Duration ejection{};
@@ -292,14 +309,14 @@
   };
   struct Work {
     EndpointId endpoint;
-    int64_t started = 0;  // the endpoint's start, as EndpointRun has it
+    int64_t started = 0;  // the endpoint's start, from EndpointRun
     SentWork what;
-    int64_t tokens_before = 0;  // that waited there before it
+    int64_t tokens_before = 0;  // prefill tokens queued there when it was sent
     std::vector<PartTokens> parts;
     Instant sent{};
     bool read = false;
   };
-  // Refusals of a service, one soon after the other.
+  // A series of refusals of a service's requests, without a longer gap.
   struct Overload {
     Instant since{};
     Instant last{};
@@ -309,7 +326,7 @@
     double mean = 0;  // seconds
     Instant last{};
   };
-  // An engine that keeps the start of a prompt.
+  // The engine that has the most of a prompt's start cached.
   struct Source {
     EndpointId endpoint;
     ZoneId zone;
@@ -319,7 +336,7 @@
     EndpointId endpoint;
     double score = 0;
     double seconds = 0;  // to the first byte
-    double waiting = 0;  // of that, for what was sent before
+    double waiting = 0;  // of these, in the prefill queue
     int64_t new_tokens = 0;
     int64_t copied_tokens = 0;
     bool reader = false;
@@ -344,11 +361,11 @@
   double Rate(const State& state) const;
   double Penalty(const State& state, const WorkShape& shape) const;
   double StreamPenalty(const State& state, const WorkShape& shape) const;
-  // What a prompt's reading takes at an engine.
+  // Prefill of a prompt at an engine.
   struct Reading {
-    int64_t tokens = 0;  // new ones
-    double own = 0;      // seconds for those
-    double all = 0;      // with what waits before them
+    int64_t tokens = 0;  // to prefill
+    double own = 0;      // seconds for these tokens
+    double all = 0;      // seconds including the prefill queue
   };
   double DecodeStall(Instant now,
                      const State& state,
@@ -369,14 +386,14 @@
   std::map<EndpointId, State> states;
   std::map<WorkId, Work> works;
   std::map<HostId, std::vector<EndpointOutstanding>> peers;
-  std::map<EndpointId, EndpointOutstanding> peer_totals;  // of all of them
+  std::map<EndpointId, EndpointOutstanding> peer_totals;  // sums over `peers`
   std::map<HostId, std::set<EndpointId>> away;
   std::map<ServiceId, double> plain_seconds;
   std::map<ServiceId, ServiceShare> shares;
   std::map<ServiceId, Overload> overloads;
   std::map<ServiceId, Pauses> pauses;
   std::map<ServiceId, EnginePace> paces;
-  EnginePace unmeasured;  // of services that nothing was sent to yet
+  EnginePace unmeasured;  // of services without measurements
   WorkId last_work = 0;
 };
 
