--- a/packages/decisions/answer_times.cc
+++ b/packages/decisions/answer_times.cc
@@ -12,10 +12,10 @@
 constexpr Duration kPeriod = std::chrono::seconds(10);
 constexpr double kQuantile = 0.95;
 
-// With fewer samples the longest one stands for the quantile.
+// With fewer samples, the maximum is used instead of the quantile.
 constexpr size_t kSamplesForQuantile = 20;
 
-// Sizes are bits of a token count.
+// A size class is the number of bits of a 64-bit token count.
 constexpr int kMostSizes = 64;
 
 }  // namespace
--- a/packages/decisions/answer_times.h
+++ b/packages/decisions/answer_times.h
@@ -1,16 +1,17 @@
-// How long whole answers take, learned from the answers of the last seconds.
+// Estimates how long complete answers take, from the answers of the last
+// seconds.
 //
-// Answers of one route differ by their length, and the same length takes
-// several times as long while endpoints are busy. So times are kept by route
-// and by size of the answer, and only recent ones count.
+// Answers of one route differ in length, and an answer of the same length takes
+// several times as long while endpoints are busy. Durations are therefore kept
+// by route and by size of the answer, and only recent ones count.
 //
 //   AnswerTimes times;
 //   times.Add(now, AnswerKind::Of("r1", output_tokens), took);
-//   const auto longest = times.Longest(now, AnswerKind::Of("r1", 300));
+//   const auto p95 = times.P95(now, AnswerKind::Of("r1", 300));
 //
 // Index
-//   AnswerKind    answers that take about as long
-//   AnswerTimes   the times of all kinds
+//   AnswerKind    answers of similar duration
+//   AnswerTimes   the durations of all kinds
 
 #pragma once
 
@@ -31,7 +32,7 @@
 // Answers of one route whose lengths differ by less than a factor of two.
 struct AnswerKind {
   std::string route;
-  int size_class = 0;  // bits of the most tokens that may be generated
+  int size_class = 0;  // bits of the maximum number of output tokens
 
   static AnswerKind Of(const std::string& route, int64_t output_tokens);
 
@@ -40,12 +41,12 @@
 
 class AnswerTimes {
  public:
-  // An answer of the kind took so long to be whole.
+  // Records the duration of a complete answer.
   void Add(Instant now, const AnswerKind& kind, Duration took);
 
-  // A time that 19 of 20 answers of the kind don't exceed. Where none of the
-  // kind is known, it follows from the route's nearest size; nullopt if nothing
-  // is known of the route.
+  // The duration that 19 of 20 answers of the kind don't exceed. If the kind
+  // has no samples, it is estimated from the route's nearest size; nullopt if
+  // the route has none.
   std::optional<Duration> Longest(Instant now, const AnswerKind& kind) const;
 
  private:
@@ -55,11 +56,11 @@
                                  boost::accumulators::tag::max,
                                  boost::accumulators::tag::p_square_quantile>>;
 
-  // The times of one period and of the one before, in seconds.
+  // The durations of the current and the previous period, in seconds.
   struct Recent {
     Recent();
 
-    // Begins new periods for those that are over.
+    // Starts a new period if the current one is over.
     void RollTo(Instant now);
 
     Instant begun{};
@@ -70,7 +71,7 @@
   static Samples Empty();
   static double LongestOf(const Samples& samples);
 
-  // nullopt if nothing of the kind itself is known.
+  // nullopt if the kind itself has no samples.
   std::optional<double> SecondsOf(Instant now, const AnswerKind& kind) const;
 
   void ForgetOld(Instant now);
--- a/packages/decisions/engine_cache.cc
+++ b/packages/decisions/engine_cache.cc
@@ -53,7 +53,7 @@
 
 int64_t EngineCache::Kept(const std::vector<PartTokens>& parts,
                           bool confirmed_only) const {
-  // A part helps only if all before it are there too.
+  // A cached part can be used only if all parts before it are cached.
   int64_t kept = 0;
   for (const PartTokens& part : parts) {
     const auto found = this->entries.find(part.part);
--- a/packages/decisions/engine_cache.h
+++ b/packages/decisions/engine_cache.h
@@ -1,12 +1,12 @@
-// What one engine keeps of prompts, as one host believes.
+// The prompt parts that one engine has cached, as recorded on one host.
 //
-// Engines keep the parts of prompts that they have read, and let go of those
-// that were used the longest ago. They tell what changes, late and sometimes
-// not at all, so a host also counts what it has sent itself.
+// Engines cache the prompt parts that they have prefilled and evict the least
+// recently used ones. Their cache events arrive late and are sometimes lost, so
+// a host also records the parts of the requests that it has sent itself.
 //
 // Index
-//   PartTokens    a run of prompt tokens
-//   EngineCache   the parts that an engine keeps
+//   PartTokens    a part of a prompt
+//   EngineCache   the cached parts of an engine
 
 #pragma once
 
@@ -17,7 +17,7 @@
 
 namespace hickorystand {
 
-// A run of prompt tokens, by the hash of its id.
+// A part of a prompt: the hash of its id, and its length in tokens.
 struct PartTokens {
   uint64_t part = 0;
   int64_t tokens = 0;
@@ -25,23 +25,24 @@
   auto operator<=>(const PartTokens&) const = default;
 };
 
-// The parts that one engine keeps.
+// An LRU model of one engine's prefix cache.
 class EngineCache {
  public:
-  // A part is used at the engine, which keeps `room` tokens at the most.
-  // `confirmed`: it was read, and is not only about to be.
+  // Inserts a part, or marks it as most recently used, and evicts the least
+  // recently used parts beyond `room` tokens. `confirmed`: the part is
+  // prefilled; otherwise its prefill is still pending.
   void Keep(const PartTokens& part, int64_t room, bool confirmed);
 
-  // The engine has let go of a part.
+  // Removes a part that the engine has evicted.
   void Drop(uint64_t part);
 
-  // The same, unless it is known to have been read.
+  // Removes a part unless it is confirmed.
   void DropUnconfirmed(uint64_t part);
 
-  // The parts that are known to have been read, least recently used first.
+  // The confirmed parts, least recently used first.
   std::vector<PartTokens> Confirmed() const;
 
-  // The tokens of a prompt's start that are kept.
+  // Length in tokens of the cached prefix of a prompt.
   int64_t Kept(const std::vector<PartTokens>& parts, bool confirmed_only) const;
 
  private:
--- a/packages/decisions/engine_pace.cc
+++ b/packages/decisions/engine_pace.cc
@@ -8,21 +8,22 @@
 namespace hickorystand {
 namespace {
 
-// The share of measurements that lie below a figure.
+// The share of measurements below an estimate.
 constexpr double kBelow = 0.4;
 
-// The step of the first measurement, as a power of e, and of all that come
-// after many. In between it falls as 1 / (1 + measurements / kStepHalved).
+// The step of the first measurement, as a power of e, and the smallest step,
+// after many measurements. In between it falls as
+// 1 / (1 + measurements / kStepHalved).
 constexpr double kFirstStep = 0.5;
 constexpr double kLastStep = 0.03;
 constexpr double kStepHalved = 10;
 
-// A reading shorter than this tells more of other delays than of the rate; one
-// below the second bound tells only of those.
+// Below the first bound, a prefill time depends more on other delays than on
+// the rate; up to the second bound, only on those.
 constexpr int64_t kLeastForRate = 2000;
 constexpr int64_t kMostForDelay = 600;
 
-constexpr double kShortest = 1e-9;  // seconds; a measurement is never nothing
+constexpr double kShortest = 1e-9;  // seconds; keeps measurements positive
 
 double SecondsAToken(double tokens_a_second) {
   return 1 / tokens_a_second;
@@ -64,7 +65,7 @@
   if (own.Measurements() > 0 || other.Measurements() == 0) {
     return 1 / own.Seconds();
   }
-  // Only the other role was measured so far.
+  // Only the other role has measurements.
   const double share = this->guess.decode_role_share;
   return (reads ? 1 / share : share) / other.Seconds();
 }
@@ -91,8 +92,8 @@
     return;
   }
   if (reading.tokens >= kLeastForRate) {
-    // What waits before it is known from other hosts' news, which are late; the
-    // more there is of it, the less the measurement tells.
+    // Other hosts report the queued tokens late; the larger their share, the
+    // less the measurement says about the rate.
     (reads ? this->token_prefill : this->token_decode)
         .Add(std::max(took - delay, kShortest) / all, tokens / all);
   } else if (reading.tokens <= kMostForDelay && !reads) {
--- a/packages/decisions/engine_pace.h
+++ b/packages/decisions/engine_pace.h
@@ -1,17 +1,19 @@
-// How fast a service's engines are, learned from the requests that ran there.
+// Estimates of how fast a service's engines are, from the requests that ran on
+// them.
 //
-// Engines of different fleets differ tenfold in how fast they read prompts, and
-// a wrong figure spoils every decision that compares waiting with reading. So
-// the figures start from a guess and follow what is measured. Each measurement
-// moves a figure by a bounded step, up or down, so that a few engines that are
-// slow, frozen or lying can't lead it far off; the steps are large at first, so
-// that a guess eight times off is corrected within about 20 measurements.
+// Prefill rates differ tenfold between fleets, and a wrong estimate distorts
+// every decision that compares queueing with recomputing. The estimates start
+// from a default and follow the measurements. Each measurement moves an
+// estimate by a bounded step, up or down, so that a few slow, frozen or
+// misreporting engines can't shift it far. The steps are large at first, so
+// that a default that is off by a factor of eight is corrected within about 20
+// measurements.
 //
 // Index
-//   TypicalTime         one figure that follows what is usual
-//   EnginePaceOptions   the guesses to start from
-//   PaceFigures         what one host tells another
-//   EnginePace          the figures of one service
+//   TypicalTime         one estimate
+//   EnginePaceOptions   the defaults
+//   PaceFigures         the estimates as hosts exchange them
+//   EnginePace          the estimates for one service
 
 #pragma once
 
@@ -22,17 +24,18 @@
 
 namespace hickorystand {
 
-// A length of time that two fifths of what is measured stay below. Waiting
-// that nobody knew of makes single measurements too long, never too short, so
-// the figure lies below the middle.
+// Estimates the 40 % quantile of a duration, in seconds. Queueing that the host
+// has no record of makes single measurements too long, never too short, so the
+// estimate lies below the median.
 class TypicalTime {
  public:
   explicit TypicalTime(double seconds) : seconds(seconds) {}
 
-  // Takes a measurement; `weight` is from 0 (worth nothing) to 1.
+  // Adds a measurement with a weight between 0 (ignored) and 1.
   void Add(double measured, double weight = 1);
 
-  // Takes the figure of another host that has measured more.
+  // Replaces the estimate by another host's, if that is based on more
+  // measurements.
   void Adopt(double figure, int64_t measurements);
 
   double Seconds() const { return this->seconds; }
@@ -43,19 +46,19 @@
   int64_t measurements = 0;
 };
 
-// What is taken for true until it was measured.
+// The values used until the first measurement.
 struct EnginePaceOptions {
-  double prompt_tokens = 37900;    // a second, in the role that reads prompts
-  double decode_role_share = 0.5;  // of that rate, in the role that generates
-  double copied_tokens = 2.5e6;    // a second, from another engine's memory
-  Duration first_token = std::chrono::milliseconds(24);  // beside reading
+  double prompt_tokens = 37900;    // per second, in the prefill role
+  double decode_role_share = 0.5;  // of that rate, in the decode role
+  double copied_tokens = 2.5e6;  // per second, transferred from another engine
+  Duration first_token = std::chrono::milliseconds(24);  // without prefill
   Duration after_reading = std::chrono::milliseconds(44);
   Duration copy_setup = std::chrono::milliseconds(6);
 
   auto operator<=>(const EnginePaceOptions&) const = default;
 };
 
-// All figures of a service, with how often each was measured.
+// A service's estimates, each with the number of its measurements.
 struct PaceFigures {
   struct Figure {
     double seconds = 0;
@@ -63,7 +66,7 @@
 
     auto operator<=>(const Figure&) const = default;
   };
-  Figure token_prefill;  // to read one prompt token
+  Figure token_prefill;  // per prompt token
   Figure token_decode;
   Figure first_token;
   Figure after_reading;
@@ -72,45 +75,48 @@
   auto operator<=>(const PaceFigures&) const = default;
 };
 
-// A prompt that was read.
+// A measured prefill.
 struct ReadingMeasured {
   EndpointRole role = EndpointRole::kPrefill;
   int64_t tokens = 0;         // of the request itself
-  int64_t tokens_before = 0;  // that were known to wait there before it
-  int64_t copied_tokens = 0;  // fetched from another engine first
-  Duration took{};            // until the first sign of it
+  int64_t tokens_before = 0;  // recorded as queued there before the request
+  int64_t copied_tokens = 0;  // transferred from another engine first
+  Duration took{};            // until the first event of the response
 
   auto operator<=>(const ReadingMeasured&) const = default;
 };
 
-// The figures of one service's engines.
+// The estimates for one service's engines.
 class EnginePace {
  public:
   explicit EnginePace(const EnginePaceOptions& guess);
 
-  // The links between engines, where the configuration tells of them.
+  // Sets the transfer rate between engines, where the configuration specifies
+  // it.
   void SetCopiedTokens(double a_second) { this->copied_tokens = a_second; }
 
   void OnRead(const ReadingMeasured& reading);
 
-  // The first token of an answer whose prompt another engine had read.
+  // Records the time to the first token of an answer whose prompt another
+  // engine had prefilled.
   void OnAnswerAfterReading(Duration took);
 
-  // Prompt tokens that an engine of usual speed reads in a second.
+  // Prompt tokens per second that a typical engine prefills.
   double PromptTokens(EndpointRole role) const;
 
-  // To the first token, beside reading.
+  // Seconds to the first token, without prefill.
   double FirstToken() const { return this->first_token.Seconds(); }
 
-  // To the first token of an answer whose prompt another engine has read.
+  // Seconds to the first token of an answer whose prompt another engine has
+  // prefilled.
   double AfterReading() const { return this->after_reading.Seconds(); }
 
-  // To fetch tokens from an engine of the same zone.
+  // Seconds to transfer tokens from an engine in the same zone.
   double Copying(int64_t tokens) const;
 
   PaceFigures Figures() const;
 
-  // Takes each figure that the other host has measured more often.
+  // Adopts each estimate for which the other host has more measurements.
   void Adopt(const PaceFigures& told);
 
  private:
--- a/packages/decisions/fleet_clock.cc
+++ b/packages/decisions/fleet_clock.cc
@@ -6,12 +6,12 @@
 namespace hickorystand {
 namespace {
 
-// What a host said last, of which the highest counts: a message that was held
-// up says a time that is past, never one that is to come. At two messages a
-// second this forgets within four seconds that a host was wrong.
+// The number of a host's latest reports, the highest of which counts: a delayed
+// message reports a past time, never a future one. At two messages per second,
+// a wrong report is dropped within four seconds.
 constexpr size_t kSaid = 8;
 
-// Hosts that are remembered. More would make no better median.
+// The number of hosts that are tracked. More would not improve the median.
 constexpr size_t kMostHosts = 64;
 
 }  // namespace
@@ -27,8 +27,9 @@
   }
 }
 
-// Hosts that stay say what they agreed on before, and this host may have just
-// started with a wrong time of day. So with two opinions the other one counts.
+// Other hosts report the time that they agreed on before, while this host may
+// have started with a wrong time of day. With two hosts, the other one's time
+// is therefore used.
 int64_t FleetClock::Offset() const {
   if (this->others.empty()) {
     return this->own;
--- a/packages/decisions/fleet_endpoint.h
+++ b/packages/decisions/fleet_endpoint.h
@@ -1,4 +1,4 @@
-// One endpoint as the fleet's discovery tells of it.
+// An endpoint as listed by the fleet's discovery.
 
 #pragma once
 
@@ -13,8 +13,8 @@
 
 namespace hickorystand {
 
-// One run of one endpoint's process. A process that starts again may keep its
-// id; the moment of its start tells the two apart.
+// One run of an endpoint's process. A restarted process may keep its id; the
+// start time distinguishes the runs.
 struct EndpointRun {
   EndpointId id;
   int64_t started = 0;  // Unix milliseconds, on the endpoint's own clock
@@ -22,7 +22,7 @@
   auto operator<=>(const EndpointRun&) const = default;
 };
 
-// What discovery says of it.
+// The endpoint's entry in discovery.
 struct FleetEndpoint {
   EndpointRun run;
   ServiceId service;
@@ -31,7 +31,7 @@
   EndpointRole role = EndpointRole::kPlain;
   int64_t slots = 1;
   bool leaving = false;
-  bool spot = false;  // may be reclaimed with its whole zone
+  bool spot = false;  // may be reclaimed along with its whole zone
 
   auto operator<=>(const FleetEndpoint&) const = default;
 };
--- a/packages/decisions/fleet_placement.cc
+++ b/packages/decisions/fleet_placement.cc
@@ -443,7 +443,7 @@
                   .expected = expected};
   }
   const auto answers = this->PlaceAnswer(now, shape, best.endpoint, tried);
-  assert(answers && "an endpoint that answers was found above");
+  assert(answers && "an endpoint that generates was found above");
   return Placed{.endpoint = *answers,
                 .reader = best.endpoint,
                 .copy_from = copy_from,
--- a/packages/decisions/fleet_topology.cc
+++ b/packages/decisions/fleet_topology.cc
@@ -11,7 +11,7 @@
 namespace hickorystand {
 namespace {
 
-// Stronger hosts first, then by id.
+// Descending by capacity, then by id.
 bool Before(const FleetHost& left, const FleetHost& right) {
   return left.capacity != right.capacity ? left.capacity > right.capacity
                                          : left.id < right.id;
@@ -25,8 +25,8 @@
   return sum;
 }
 
-// The distance of a host from another one in weighted rendezvous hashing: the
-// least distance wins, and a host wins in proportion to its capacity.
+// The distance between two hosts in weighted rendezvous hashing: the smallest
+// distance wins, and a host wins in proportion to its capacity.
 double Distance(const HostId& from, const FleetHost& to) {
   constexpr double kHashRange = 18446744073709551616.0;  // 2^64
   const uint64_t seed = XXH3_64bits(from.Text().data(), from.Text().size());
@@ -37,7 +37,7 @@
          static_cast<double>(std::max<int64_t>(to.capacity, 1));
 }
 
-// The linked hosts and then the nearest ones, at most `count`.
+// The linked hosts, then the nearest ones; at most `count`.
 std::vector<FleetHost> Nearest(const HostId& from,
                                std::vector<FleetHost> hosts,
                                const std::set<HostId>& linked,
@@ -56,7 +56,7 @@
          std::to_string(host.capacity) + " " + host.zone.Text();
 }
 
-// A record with an address alone is of a host whose zone isn't known.
+// A record that consists of an address only is of a host in an unknown zone.
 Result<FleetHost> DecodeFleetHost(const HostId& id, const std::string& text) {
   std::istringstream in(text);
   std::string address;
--- a/packages/decisions/orders.h
+++ b/packages/decisions/orders.h
@@ -1,10 +1,10 @@
-// Orders to endpoints and to the platform, and the one record per data centre
-// in which their intent stands before they leave.
+// Orders to endpoints and to the platform, and the record per data centre in
+// which an order is stored before it is sent.
 //
 // Index
 //   Order             one order, as recorded and as sent
 //   OpenWindow        a usage window that was closed and not yet reported
-//   OrderRecord       everything in the data centre's record
+//   OrderRecord       the contents of the data centre's record
 //   Encode, Decode    the record as JSON in the key-value service
 
 #pragma once
@@ -19,11 +19,12 @@
 
 namespace hickorystand {
 
-// Unique for ever: FENCING-NUMBER, numbered by the holder that first meant it.
+// Never reused. The format is FENCING-NUMBER, numbered by the holder that
+// created the order.
 using OrderId = Id<struct OrderTag>;
 
-// What an order asks for. The first five go to an endpoint; the last goes to
-// the platform's interface for endpoints.
+// The action of an order. kChangeEndpoints goes to the platform's endpoint
+// interface, all others go to an endpoint.
 enum class OrderKind {
   kSetRole,
   kLoadModel,
@@ -33,11 +34,11 @@
   kChangeEndpoints,
 };
 
-// The kind's name on the wire, and back.
+// Conversion between a kind and its name on the wire.
 std::string_view OrderKindName(OrderKind kind);
 Result<OrderKind> ParseOrderKind(std::string_view name);
 
-// One order. Never changed once meant: a successor repeats it as it stands.
+// One order. Immutable once recorded: a successor repeats it unchanged.
 struct Order {
   OrderId id;
   OrderKind kind = OrderKind::kSetRole;
@@ -47,17 +48,17 @@
   bool cheap = false;        // kChangeEndpoints
   int64_t change = 0;        // kChangeEndpoints: how many more (or, < 0, fewer)
   bool fences = false;       // the endpoint refuses older fencing numbers
-  int64_t fencing = 0;       // of the holder that meant it
-  HostId holder;             // who meant it
+  int64_t fencing = 0;       // of the holder that created it
+  HostId holder;             // that created it
   uint64_t incarnation = 0;  // of that holder's process
 
-  // Whether it goes to the platform rather than to an endpoint.
+  // Whether the order goes to the platform rather than to an endpoint.
   bool ToPlatform() const { return this->kind == OrderKind::kChangeEndpoints; }
 
   auto operator<=>(const Order&) const = default;
 };
 
-// A usage window whose figures are written and whose report isn't confirmed.
+// A usage window whose figures are recorded and whose report is not confirmed.
 struct OpenWindow {
   int64_t window = 0;
   int64_t fencing = 0;
@@ -67,19 +68,19 @@
   auto operator<=>(const OpenWindow&) const = default;
 };
 
-// The data centre's record.
+// The contents of the data centre's record.
 struct OrderRecord {
   std::vector<Order> orders;
   std::vector<OpenWindow> windows;
-  int64_t last_window = 0;  // highest number closed; 0: none yet
+  int64_t last_window = 0;  // highest closed window; 0: none
 
   bool operator==(const OrderRecord&) const = default;
 };
 
-// The record's key.
+// The record's key in the key-value service.
 std::string OrderRecordKey(const DataCentreId& data_centre);
 
-// The record as JSON. An empty text is an empty record.
+// The record as JSON. An empty text decodes to an empty record.
 std::string EncodeOrderRecord(const OrderRecord& record);
 Result<OrderRecord> DecodeOrderRecord(const std::string& text);
 
--- a/packages/decisions/retry_budget.cc
+++ b/packages/decisions/retry_budget.cc
@@ -8,7 +8,7 @@
 RetryBudget::RetryBudget(const RetryBudgetOptions& options)
     : options(options), left(options.floor) {
   assert(options.share >= 0 && options.share < 1 &&
-         "a success must not pay for a whole retry");
+         "a success must add less than one retry");
 }
 
 void RetryBudget::OnSuccess() {
--- a/packages/decisions/retry_budget.h
+++ b/packages/decisions/retry_budget.h
@@ -1,8 +1,9 @@
-// How many retries and hedges a host may add to the load that it was given.
+// Limits how many retries and hedges a host adds to its incoming load.
 //
-// Without a budget, a fleet that fails a tenth of its attempts is asked again
-// for that tenth, fails more, and is soon busy with nothing but retries. Here
-// retries can't exceed a share of recent successes, so they die out with them.
+// Without a budget, a fleet in which a tenth of the attempts fail gets that
+// tenth again as retries, fails more, and soon serves nothing but retries. With
+// it, retries are limited to a share of recent successes, so they stop when
+// requests no longer succeed.
 
 #pragma once
 
@@ -10,28 +11,28 @@
 
 namespace hickorystand {
 
-// How a budget is set.
+// Rates and bounds of a budget, in retries.
 struct RetryBudgetOptions {
-  double share = 0.2;            // retries earned by each success
-  double floor = 20;             // kept ready while there is no traffic
-  double cap = 100;              // the most that can be saved up
-  double refill_per_second = 2;  // below the floor only
+  double share = 0.2;            // added per success
+  double floor = 20;             // level restored without traffic
+  double cap = 100;              // upper bound
+  double refill_per_second = 2;  // only below the floor
 
   auto operator<=>(const RetryBudgetOptions&) const = default;
 };
 
-// A token bucket that successes fill.
+// A token bucket that is refilled by successes.
 class RetryBudget {
  public:
   explicit RetryBudget(const RetryBudgetOptions& options = {});
 
-  // An attempt was answered in full.
+  // Records that an attempt was answered in full.
   void OnSuccess();
 
-  // Takes one retry out of the budget; false if it is spent.
+  // Takes one retry from the budget; false if the budget is exhausted.
   bool Take(Instant now);
 
-  // Retries left.
+  // Remaining retries.
   double Left() const { return this->left; }
 
  private:
--- a/packages/decisions/role_plan.cc
+++ b/packages/decisions/role_plan.cc
@@ -9,7 +9,7 @@
 namespace hickorystand {
 namespace {
 
-// Engines of one role in each zone.
+// Engines of one role, by zone.
 using ByZone = std::map<ZoneId, std::vector<EndpointId>>;
 
 int64_t CountAll(const ByZone& engines) {
@@ -20,17 +20,20 @@
   return count;
 }
 
-// What speaks against changing an engine's role, the strongest reason first.
+// The cost of changing an engine's role, most significant member first.
 struct ChangeCost {
-  int64_t running = 0;      // requests that must end first
-  bool wrong_kind = false;  // a spot engine, or one that stays, where the other
-                            // kind serves better
-  int64_t left_in_zone = 0;  // fewer: negated number of its role in its zone
+  int64_t running = 0;  // requests that must end first
+  // A spot engine would become a decode engine, or an on-demand engine a
+  // prefill engine.
+  bool wrong_kind = false;
+  // Negated number of engines of its role in its zone.
+  int64_t left_in_zone = 0;
 
   auto operator<=>(const ChangeCost&) const = default;
 };
 
-// The engine whose change costs the least; there is one at the least.
+// The engine with the lowest cost of a role change. `engines` must not be
+// empty.
 EndpointId Cheapest(const FleetEndpoints& endpoints,
                     const ByZone& engines,
                     const RoleLoad& load,
@@ -90,8 +93,8 @@
   if (CountAll(generators) >= wanted || readers.empty()) {
     return {};
   }
-  // Where none generates yet, if there is such a zone. Streams go to engines
-  // that can't be reclaimed, since theirs would break.
+  // Prefers a zone without decode engines. Decode engines should not be spot
+  // engines, since reclaiming one breaks its streams.
   const auto bare = std::ranges::find_if(readers, [&](const auto& entry) {
     return !generators.contains(entry.first);
   });
--- a/packages/decisions/role_plan.h
+++ b/packages/decisions/role_plan.h
@@ -1,10 +1,10 @@
-// How many engines read prompts for others, and how many generate.
+// Selects which engines prefill prompts for other engines and which generate.
 //
-// An engine that generates reads prompts at half the rate, and each piece that
-// it reads holds up every stream that runs there. So prompts are read apart
-// wherever there is room, and only as many engines generate as the streams
-// need. An engine takes its new role only when all that runs there is over, so
-// those with the fewest requests change.
+// A decode engine prefills at half the rate, and each chunk that it prefills
+// stalls all its streams. Prompts are therefore prefilled on separate engines
+// where capacity allows, and only as many engines generate as the streams need.
+// An engine changes its role only after all its requests have ended, so the
+// engines with the fewest requests change.
 
 #pragma once
 
@@ -16,17 +16,19 @@
 
 namespace hickorystand {
 
-// How roles are planned.
+// Targets of role planning.
 struct RolePlanOptions {
-  // The share of an engine's slots that streams take.
+  // Target share of an engine's slots that streams take.
   double slots_used = 0.7;
-  // Of those, at least one for each zone, since moving a prompt's memory to
-  // another zone takes twice as long, and some more for the loss of one.
+  // Decode engines in addition to those that the streams need, and in addition
+  // to one per zone, in case an engine fails. Each zone has one since the KV
+  // transfer of a prompt to another zone takes twice as long.
   int64_t spare_engines = 1;
-  // Engines that generate beyond what is needed are left so up to this many:
-  // streams come and go, and each change takes an engine out for seconds.
+  // Surplus of decode engines up to which none changes its role: the number of
+  // streams fluctuates, and each change takes an engine out of service for
+  // seconds.
   int64_t tolerated_more = 1;
-  // The least share of engines that generate, whatever the streams need.
+  // Smallest share of engines that generate, whatever the number of streams.
   double least_share = 0.2;
 
   auto operator<=>(const RolePlanOptions&) const = default;
@@ -40,14 +42,14 @@
   auto operator<=>(const RoleChange&) const = default;
 };
 
-// What is known of a service's load.
+// A service's load.
 struct RoleLoad {
-  double streams = 0;  // at a time, in the whole fleet
-  std::function<int64_t(const EndpointId&)> running;  // requests there now
+  double streams = 0;  // concurrent, in the whole fleet
+  std::function<int64_t(const EndpointId&)> running;  // requests at an engine
 };
 
-// The change to make next for a service, if any. One at a time: each takes an
-// engine out for seconds.
+// Returns the next role change for a service, if any. Only one at a time: each
+// takes an engine out of service for seconds.
 std::optional<RoleChange> PlanRole(const FleetEndpoints& endpoints,
                                    const ServiceId& service,
                                    const RoleLoad& load,
--- a/packages/decisions/scale_plan.cc
+++ b/packages/decisions/scale_plan.cc
@@ -12,12 +12,12 @@
   return bounds.spot_price < options.spot_worth_it;
 }
 
-// What all zones may have together.
+// The limit for all zones together.
 int64_t MostEngines(const ScaleBounds& bounds) {
   return static_cast<int64_t>(bounds.zone_prices.size()) * bounds.maximum;
 }
 
-// The zones, cheapest first.
+// Zones in ascending order of price.
 std::vector<ZoneId> ZonesByPrice(const ScaleBounds& bounds) {
   std::vector<ZoneId> zones;
   for (const auto& [zone, price] : bounds.zone_prices) {
@@ -29,8 +29,8 @@
   return zones;
 }
 
-// Hands out `count` engines, one to each zone in turn, as long as `room` has a
-// place; the cheaper zones get the odd ones.
+// Distributes `count` engines over the zones in turn, skipping zones without
+// `room`. The cheaper zones get the remainder.
 template <typename Room, typename Add>
 void Deal(const std::vector<ZoneId>& zones, int64_t count, Room room, Add add) {
   bool dealt = true;
--- a/packages/decisions/scheduler_choice.cc
+++ b/packages/decisions/scheduler_choice.cc
@@ -6,8 +6,8 @@
 namespace hickorystand {
 namespace {
 
-// Requests in flight at one scheduler, beyond twice those of the least loaded
-// one, from which on it is taken to be stuck.
+// A scheduler counts as stuck if it has more requests in flight than twice
+// those of the least loaded scheduler plus this number.
 constexpr int64_t kStuckFrom = 6;
 
 double CapacityOf(const FleetHost& host) {
@@ -25,8 +25,8 @@
   std::erase_if(this->states, [&listed](const auto& entry) {
     return !listed.contains(entry.first);
   });
-  // A linked scheduler tells of itself only when something changes, which may
-  // have been before it was listed here.
+  // A linked scheduler reports its state only when it changes, which may have
+  // been before the scheduler was listed here.
   for (const auto& [id, told] : this->news) {
     this->Apply(id, told);
   }
@@ -38,8 +38,8 @@
   this->Apply(scheduler, told);
 }
 
-// A scheduler that has just come begins level with the others: it would get
-// every request until it had caught up.
+// A scheduler that becomes ready starts at the lowest forwarded share of the
+// others. Otherwise it would get every request until it had caught up.
 void SchedulerChoice::Apply(const HostId& scheduler,
                             const SchedulerState& told) {
   const auto found = this->states.find(scheduler);
@@ -71,7 +71,7 @@
   return state.told.ready && state.told.version >= this->version;
 }
 
-// Draining schedulers get fewer requests than their share.
+// Draining schedulers are left out: they get fewer requests than their share.
 double SchedulerChoice::LeastForwarded() const {
   std::optional<double> least;
   for (const auto& [id, state] : this->states) {
--- a/packages/decisions/scheduler_choice.h
+++ b/packages/decisions/scheduler_choice.h
@@ -1,12 +1,12 @@
-// The scheduler to which an ingress host forwards the next request.
+// Selects the scheduler to which an ingress host forwards the next request.
 //
-// Requests are spread over the schedulers of the host's own zone in proportion
-// to their capacity. Those of other zones serve while none of its own can, or
-// only much weaker ones: a weak host's link is full long before its processor
-// is. A draining scheduler is chosen only while no other one can serve, or only
-// much weaker ones. A host that has seen one version of the configuration at
-// work never forwards to a scheduler that has only an older one: its callers
-// would see the change undone.
+// Requests are distributed over the schedulers of the host's own zone in
+// proportion to their capacity. Schedulers of other zones are used only while
+// none of the own zone can serve, or only much weaker ones: the link of a weak
+// host saturates long before its processor does. A draining scheduler is used
+// only while no other one can serve, or only much weaker ones. A host that has
+// seen a version of the configuration in effect never forwards to a scheduler
+// that has an older one: callers would see the change undone.
 
 #pragma once
 
@@ -19,10 +19,10 @@
 
 namespace hickorystand {
 
-// What a scheduler tells of itself.
+// The state that a scheduler reports.
 struct SchedulerState {
   bool ready = false;
-  bool busy = false;         // others of its zone are preferred
+  bool busy = false;         // others in its zone are preferred
   bool keys_proven = false;  // others are preferred while it is false
   int64_t version = 0;       // of its configuration
   bool draining = false;     // others are preferred
@@ -34,38 +34,40 @@
  public:
   explicit SchedulerChoice(ZoneId own) : own(std::move(own)) {}
 
-  // The schedulers that may be chosen, once they have told of themselves.
+  // Replaces the list of schedulers. A listed scheduler can be chosen once it
+  // has reported its state.
   void SetSchedulers(const std::vector<FleetHost>& schedulers);
 
-  // What a linked scheduler told of itself.
+  // Records the state that a linked scheduler reported.
   void OnNews(const HostId& scheduler, const SchedulerState& told);
 
-  // Notes that this host has applied a configuration version itself. Schedulers
-  // with an older one are no longer chosen.
+  // Records that this host has applied a configuration version itself.
+  // Schedulers with an older version are no longer chosen.
   void NoteAppliedVersion(int64_t applied_version);
 
-  // A scheduler's link is gone.
+  // Records that the link to a scheduler was lost.
   void OnLost(const HostId& scheduler);
 
-  // The scheduler for a request that was not forwarded to `tried` before.
+  // Returns the scheduler for a request that was not forwarded to `tried`
+  // before; nullopt if there is none.
   std::optional<HostId> Choose(const std::set<HostId>& tried) const;
 
-  // A request was forwarded there, or is over.
+  // Record that a request was forwarded to a scheduler, and that it ended.
   void OnForwarded(const HostId& scheduler);
   void OnEnded(const HostId& scheduler);
 
-  // Whether any scheduler serves.
+  // Whether any scheduler can serve.
   bool Ready() const { return this->Choose({}).has_value(); }
 
-  // The newest version that any scheduler told of or this host applied.
+  // The newest version that any scheduler reported or this host applied.
   int64_t Version() const { return this->version; }
 
  private:
   struct State {
     FleetHost host;
-    SchedulerState told;  // a copy of `news`
+    SchedulerState told;  // copy of the entry in `reported_states`
     int64_t in_flight = 0;
-    double forwarded = 0;  // requests for each unit of capacity
+    double forwarded = 0;  // requests per unit of capacity
   };
 
   void Apply(const HostId& scheduler, const SchedulerState& told);
@@ -75,8 +77,8 @@
 
   ZoneId own;
   int64_t version = 0;
-  std::map<HostId, State> states;  // of the schedulers that may be chosen
-  std::map<HostId, SchedulerState> news;  // of all that are linked
+  std::map<HostId, State> states;         // of the listed schedulers
+  std::map<HostId, SchedulerState> news;  // of all linked ones
 };
 
 }  // namespace hickorystand
--- a/packages/decisions/stop_schedule.cc
+++ b/packages/decisions/stop_schedule.cc
@@ -5,14 +5,15 @@
 namespace hickorystand {
 namespace {
 
-// The balancer asks once a second and takes a host out after two misses; what
-// it sent before that is on its way for a moment longer.
+// The load balancer probes once a second and removes a host after two failed
+// probes; requests that it sent before may still be in transit.
 constexpr Duration kBalancerDelay = std::chrono::milliseconds(2500);
 
-// Time to tell callers of unfinished requests, before the process is killed.
+// Time to notify the callers of unfinished requests before the process is
+// killed.
 constexpr Duration kKillMargin = std::chrono::milliseconds(500);
 
-// Answers may take this much longer than they took before.
+// Margin for answers that take longer than earlier ones.
 constexpr double kExpectedTimeMargin = 1.25;
 
 }  // namespace
--- a/packages/decisions/stop_schedule.h
+++ b/packages/decisions/stop_schedule.h
@@ -1,16 +1,16 @@
-// What a host that was told to stop may still take.
+// Admission of requests on a host that is stopping.
 //
-// For a while callers come as before, since the balancer needs time to notice.
-// A request whose answer would be cut by the end of the process is refused at
-// once, so that its caller may go to another host.
+// Callers keep sending requests for a while, since the load balancer needs time
+// to notice the stop. A request whose answer would be cut off by the end of the
+// process is refused at once, so that its caller can use another host.
 //
 //   const auto stop = StopSchedule::From(signalled, grace);
-//   if (stop.MayTake(now, {.limit = patience, .expected = longest})) { ... }
+//   if (stop.MayAccept(now, {.limit = timeout, .expected = p95})) { ... }
 //
 // Index
-//   AnswerNeed     how long a request's answer may take, and is expected to
-//   CanFinish      whether that is over by a moment
-//   StopSchedule   the moments of one stop
+//   AnswerDuration   the limit and the expected duration of an answer
+//   CanFinish        whether an answer is complete in the remaining time
+//   StopSchedule     the times of one stop
 
 #pragma once
 
@@ -20,29 +20,29 @@
 
 namespace hickorystand {
 
-// How long a request's answer takes, counted from now.
+// The duration of a request's answer, from now on.
 struct AnswerNeed {
-  Duration limit{};  // then the caller or its route gives up
-  // What nearly all such answers take; nullopt: not known.
+  Duration limit{};  // timeout of the caller or its route
+  // Duration that nearly all such answers stay within; nullopt: unknown.
   std::optional<Duration> expected;
 
   auto operator<=>(const AnswerNeed&) const = default;
 };
 
-// Whether an answer is whole within the time left, or its limit ends by then.
+// Whether an answer is complete, or its limit reached, within the time left.
 bool CanFinish(Duration left, const AnswerNeed& need);
 
-// The moments of one stop.
+// The times of one stop.
 struct StopSchedule {
   Instant signalled{};
-  Instant takes_until{};  // callers have had time to go elsewhere
-  Instant finish_by{};    // what is unfinished is ended
+  Instant takes_until{};  // by then the load balancer has noticed the stop
+  Instant finish_by{};    // unfinished requests are ended then
 
   // The platform kills the process `grace` after the signal.
   static StopSchedule From(Instant signalled, Duration grace);
 
-  // Whether a request may still be taken. After `takes_until` an estimate
-  // isn't enough: only what is surely over in time is taken.
+  // Whether a request may still be accepted. After `accept_until` an estimate
+  // is not sufficient: the request's limit must end before `finish_by`.
   bool MayTake(Instant now, const AnswerNeed& need) const;
 
   Duration Left(Instant now) const { return this->finish_by - now; }
--- a/packages/decisions/subscription_plan.cc
+++ b/packages/decisions/subscription_plan.cc
@@ -10,7 +10,7 @@
 
 const FleetHost& SubscriberOf(const FleetEndpoint& engine,
                               const std::vector<FleetHost>& schedulers) {
-  assert(!schedulers.empty() && "a scheduler asks this, and knows itself");
+  assert(!schedulers.empty() && "the calling scheduler is always in the list");
   const std::string& id = engine.run.id.Text();
   const uint64_t seed = XXH3_64bits(id.data(), id.size());
   return *std::ranges::min_element(
--- a/packages/decisions/subscription_plan.h
+++ b/packages/decisions/subscription_plan.h
@@ -1,6 +1,6 @@
-// Which scheduler subscribes to an engine's cache events and passes them on to
-// the others. An engine serves few such calls at a time, and each costs a
-// connection.
+// Selects the scheduler that subscribes to an engine's cache events and
+// forwards them to the other schedulers. An engine serves few such
+// subscriptions at a time, and each takes a connection.
 
 #pragma once
 
@@ -11,9 +11,10 @@
 
 namespace hickorystand {
 
-// The subscriber among schedulers, the same on every host that knows the same
-// ones: one of the engine's own zone if there is any. Few engines change their
-// subscriber when a scheduler comes or goes. There has to be a scheduler.
+// Returns the subscriber among `schedulers`, which must not be empty: one in
+// the engine's own zone if there is any. The result is the same on every host
+// with the same schedulers, and few engines change their subscriber when a
+// scheduler is added or removed.
 const FleetHost& SubscriberOf(const FleetEndpoint& engine,
                               const std::vector<FleetHost>& schedulers);
 
--- a/packages/decisions/suspects.h
+++ b/packages/decisions/suspects.h
@@ -1,13 +1,14 @@
-// Requests that may be what crashes endpoints.
+// Identifies requests that may crash endpoints.
 //
-// When an endpoint crashes, each request that ran there is suspected. Suspects
-// of one crash are run apart from each other, so the next crash holds at most
-// one of them: whoever is in both is the cause. It is then refused for a while,
-// and all others lose their suspicion as soon as they are answered.
+// When an endpoint crashes, every request that ran on it becomes a suspect. The
+// suspects of one crash are then run on separate endpoints, so that the next
+// crash involves at most one of them. A request that was involved in both is
+// the cause and is refused for a while. Any other request ceases to be a
+// suspect once it is answered.
 //
-// A zone that is lost takes several endpoints at once, with no request in
-// common; that clears the requests which ran there, for no request can be in
-// the way of two endpoints at a time.
+// The loss of a zone takes down several endpoints at once, with no request in
+// common. This clears the requests that ran on them, since one request cannot
+// crash two endpoints at the same time.
 
 #pragma once
 
@@ -22,42 +23,43 @@
 
 namespace hickorystand {
 
-// How suspicion is set.
+// Thresholds and sizes.
 struct SuspectsOptions {
-  int64_t condemned_after = 2;  // crashes after which a request is refused
+  int64_t condemned_after = 2;  // crashes until a request is refused
   Duration memory = std::chrono::minutes(10);
   Duration zone_window = std::chrono::seconds(3);
   size_t capacity = 4096;  // fingerprints kept
-  size_t in_digest = 64;   // fingerprints told to peers
+  size_t in_digest = 64;   // fingerprints sent to peers
 
   auto operator<=>(const SuspectsOptions&) const = default;
 };
 
-// What this host knows about requests that ran on endpoints as they crashed.
+// Tracks the requests that ran on endpoints when these crashed. Requests are
+// identified by their fingerprints.
 class Suspects {
  public:
   explicit Suspects(const SuspectsOptions& options = {});
 
-  // An endpoint crashed while it ran these requests of this host.
+  // Records that an endpoint crashed while it ran these requests of this host.
   void OnCrash(Instant now,
                const ZoneId& zone,
                const std::vector<uint64_t>& fingerprints);
 
-  // A request was answered in full, so it isn't what crashes endpoints.
+  // Records that a request was answered in full: it does not crash endpoints.
   void OnAnswered(uint64_t fingerprint);
 
-  // A peer's own list. It replaces the peer's last one.
+  // Replaces the list that a peer reported.
   void OnPeer(Instant now,
               const HostId& host,
               const std::vector<Suspicion>& suspicions);
 
-  // Crashes with this request, here and at peers.
+  // Crashes that involved the request, on this host and its peers.
   int64_t Crashes(Instant now, uint64_t fingerprint) const;
 
   bool IsSuspected(Instant now, uint64_t fingerprint) const;
   bool IsCondemned(Instant now, uint64_t fingerprint) const;
 
-  // What this host saw itself, most crashes first.
+  // Crashes seen by this host, most crashes first.
   std::vector<Suspicion> Own() const;
 
  private:
@@ -72,8 +74,8 @@
   };
   using Entries = std::map<uint64_t, Entry>;
 
-  // Whether a zone went down, rather than one endpoint. Takes suspicion back
-  // from the requests of the earlier crash, too.
+  // Whether the crash was part of the loss of a zone. If so, also clears the
+  // requests of the earlier crash.
   bool ClearedByZone(const Crash& crash);
   void Forget(Instant now);
 
