--- a/packages/decisions/orders.cc
+++ b/packages/decisions/orders.cc
@@ -83,7 +83,7 @@
   const auto found = std::ranges::find(kKindNames, name, &KindName::name);
   if (found == kKindNames.end()) {
     return Fail(ErrorKind::kBadRequest,
-                "no order is of kind '" + std::string(name) + "'");
+                "unknown order kind '" + std::string(name) + "'");
   }
   return found->kind;
 }
