--- a/packages/decisions/engine_pace.cc
+++ b/packages/decisions/engine_pace.cc
@@ -25,8 +25,8 @@
 
 constexpr double kShortest = 1e-9;  // seconds; keeps measurements positive
 
-double SecondsAToken(double tokens_a_second) {
-  return 1 / tokens_a_second;
+double SecondsAToken(double tokens_per_second) {
+  return 1 / tokens_per_second;
 }
 
 }  // namespace
@@ -59,15 +59,17 @@
       copy_setup(ToSeconds(guess.copy_setup)) {}
 
 double EnginePace::PromptTokens(EndpointRole role) const {
-  const bool reads = role == EndpointRole::kPrefill;
-  const TypicalTime& own = reads ? this->token_prefill : this->token_decode;
-  const TypicalTime& other = reads ? this->token_decode : this->token_prefill;
+  const bool is_prefill = role == EndpointRole::kPrefill;
+  const TypicalTime& own =
+      is_prefill ? this->token_prefill : this->token_decode;
+  const TypicalTime& other =
+      is_prefill ? this->token_decode : this->token_prefill;
   if (own.Measurements() > 0 || other.Measurements() == 0) {
     return 1 / own.Seconds();
   }
   // Only the other role has measurements.
   const double share = this->guess.decode_role_share;
-  return (reads ? 1 / share : share) / other.Seconds();
+  return (is_prefill ? 1 / share : share) / other.Seconds();
 }
 
 double EnginePace::Copying(int64_t tokens) const {
@@ -75,28 +77,29 @@
          static_cast<double>(tokens) / this->copied_tokens;
 }
 
-void EnginePace::OnRead(const ReadingMeasured& reading) {
-  const bool reads = reading.role == EndpointRole::kPrefill;
-  const auto tokens = static_cast<double>(reading.tokens);
-  const auto all = static_cast<double>(reading.tokens + reading.tokens_before);
-  const double rate = this->PromptTokens(reading.role);
-  const double delay = reads ? 0 : this->FirstToken();
-  const double took = ToSeconds(reading.took);
-  if (reading.copied_tokens > 0) {
-    if (reading.tokens_before == 0) {
-      const double rest =
+void EnginePace::OnRead(const ReadingMeasured& measurement) {
+  const bool is_prefill = measurement.role == EndpointRole::kPrefill;
+  const auto tokens = static_cast<double>(measurement.tokens);
+  const auto all =
+      static_cast<double>(measurement.tokens + measurement.tokens_before);
+  const double rate = this->PromptTokens(measurement.role);
+  const double delay = is_prefill ? 0 : this->FirstToken();
+  const double took = ToSeconds(measurement.took);
+  if (measurement.copied_tokens > 0) {
+    if (measurement.tokens_before == 0) {
+      const double setup =
           took - delay - tokens / rate -
-          static_cast<double>(reading.copied_tokens) / this->copied_tokens;
-      this->copy_setup.Add(std::max(rest, kShortest));
+          static_cast<double>(measurement.copied_tokens) / this->copied_tokens;
+      this->copy_setup.Add(std::max(setup, kShortest));
     }
     return;
   }
-  if (reading.tokens >= kLeastForRate) {
+  if (measurement.tokens >= kLeastForRate) {
     // Other hosts report the queued tokens late; the larger their share, the
     // less the measurement says about the rate.
-    (reads ? this->token_prefill : this->token_decode)
+    (is_prefill ? this->token_prefill : this->token_decode)
         .Add(std::max(took - delay, kShortest) / all, tokens / all);
-  } else if (reading.tokens <= kMostForDelay && !reads) {
+  } else if (measurement.tokens <= kMostForDelay && !is_prefill) {
     this->first_token.Add(std::max(took - all / rate, kShortest));
   }
 }
@@ -117,13 +120,13 @@
           .copy_setup = figure(this->copy_setup)};
 }
 
-void EnginePace::Adopt(const PaceFigures& told) {
+void EnginePace::Adopt(const PaceFigures& received) {
   const std::array pairs = {
-      std::pair(&this->token_prefill, &told.token_prefill),
-      std::pair(&this->token_decode, &told.token_decode),
-      std::pair(&this->first_token, &told.first_token),
-      std::pair(&this->after_reading, &told.after_reading),
-      std::pair(&this->copy_setup, &told.copy_setup)};
+      std::pair(&this->token_prefill, &received.token_prefill),
+      std::pair(&this->token_decode, &received.token_decode),
+      std::pair(&this->first_token, &received.first_token),
+      std::pair(&this->after_reading, &received.after_reading),
+      std::pair(&this->copy_setup, &received.copy_setup)};
   for (const auto& [own, figure] : pairs) {
     own->Adopt(figure->seconds, figure->measurements);
   }
--- a/packages/decisions/engine_pace.h
+++ b/packages/decisions/engine_pace.h
@@ -93,9 +93,11 @@
 
   // Sets the transfer rate between engines, where the configuration specifies
   // it.
-  void SetCopiedTokens(double a_second) { this->copied_tokens = a_second; }
+  void SetCopiedTokens(double tokens_per_second) {
+    this->copied_tokens = tokens_per_second;
+  }
 
-  void OnRead(const ReadingMeasured& reading);
+  void OnRead(const ReadingMeasured& measurement);
 
   // Records the time to the first token of an answer whose prompt another
   // engine had prefilled.
@@ -117,7 +119,7 @@
   PaceFigures Figures() const;
 
   // Adopts each estimate for which the other host has more measurements.
-  void Adopt(const PaceFigures& told);
+  void Adopt(const PaceFigures& received);
 
  private:
   EnginePaceOptions guess;
--- a/packages/decisions/fleet_clock.cc
+++ b/packages/decisions/fleet_clock.cc
@@ -20,10 +20,10 @@
   if (!this->others.contains(host) && this->others.size() >= kMostHosts) {
     return;
   }
-  std::deque<int64_t>& said = this->others[host];
-  said.push_back(unix_ms - boot_ms);
-  if (said.size() > kSaid) {
-    said.pop_front();
+  std::deque<int64_t>& reports = this->others[host];
+  reports.push_back(unix_ms - boot_ms);
+  if (reports.size() > kSaid) {
+    reports.pop_front();
   }
 }
 
@@ -35,8 +35,8 @@
     return this->own;
   }
   std::vector<int64_t> offsets;
-  for (const auto& [host, said] : this->others) {
-    offsets.push_back(std::ranges::max(said));
+  for (const auto& [host, reports] : this->others) {
+    offsets.push_back(std::ranges::max(reports));
   }
   if (offsets.size() % 2 == 0) {
     offsets.push_back(this->own);
--- a/packages/decisions/fleet_placement.cc
+++ b/packages/decisions/fleet_placement.cc
@@ -136,8 +136,8 @@
   return own;
 }
 
-void FleetPlacement::AdoptPace(const PaceByService& told) {
-  for (const auto& [service, figures] : told) {
+void FleetPlacement::AdoptPace(const PaceByService& received) {
+  for (const auto& [service, figures] : received) {
     this->PaceOf(service).Adopt(figures);
   }
 }
@@ -160,9 +160,10 @@
       state.endpoint.zone == this->options.zone
           ? 0
           : this->options.other_zone * ToSeconds(TargetOf(shape));
-  const bool known = !this->connected || this->connected(state.endpoint);
+  const bool is_connected = !this->connected || this->connected(state.endpoint);
   const double connecting =
-      known ? 0 : this->options.new_connection * ToSeconds(TargetOf(shape));
+      is_connected ? 0
+                   : this->options.new_connection * ToSeconds(TargetOf(shape));
   return zone + connecting +
          state.failure_share * ToSeconds(this->options.failure_penalty);
 }
@@ -217,12 +218,12 @@
         state.failures_in_row >= this->options.failures_to_eject - 1) {
       continue;
     }
-    const int64_t kept = KeptOf(state.cache, shape, true);
-    const bool nearer = kept == best.tokens && kept > 0 &&
+    const int64_t cached = KeptOf(state.cache, shape, true);
+    const bool nearer = cached == best.tokens && cached > 0 &&
                         state.endpoint.zone == this->options.zone &&
                         best.zone != this->options.zone;
-    if (kept > best.tokens || nearer) {
-      best = {.endpoint = id, .zone = state.endpoint.zone, .tokens = kept};
+    if (cached > best.tokens || nearer) {
+      best = {.endpoint = id, .zone = state.endpoint.zone, .tokens = cached};
     }
   }
   return best;
@@ -251,9 +252,10 @@
 void FleetPlacement::OnPause(Instant now,
                              const ServiceId& service,
                              Duration pause) {
-  Pauses& known = this->pauses[service];
-  known.mean += kPauseWeight * (ToSeconds(pause) - known.mean);
-  known.last = now;
+  Pauses& pauses_of_service = this->pauses[service];
+  pauses_of_service.mean +=
+      kPauseWeight * (ToSeconds(pause) - pauses_of_service.mean);
+  pauses_of_service.last = now;
 }
 
 // How close the pauses of a service's streams are to the allowed pause: 0 while
@@ -266,9 +268,9 @@
       now - found->second.last > kPauseMemory) {
     return 0;
   }
-  const double over = found->second.mean / target - this->options.pause_free;
+  const double excess = found->second.mean / target - this->options.pause_free;
   return std::clamp(
-      over / (this->options.pause_full - this->options.pause_free), 0.0,
+      excess / (this->options.pause_full - this->options.pause_free), 0.0,
       kMostPauseShare);
 }
 
@@ -302,40 +304,45 @@
   const EndpointId& id = state.endpoint.run.id;
   const EnginePace& pace = this->Pace(shape.service);
   const double rate = this->Rate(state);
-  const int64_t kept = KeptOf(state.cache, shape, false);
-  const int64_t more = source.tokens - kept;
-  const int64_t copied = more >= this->options.minimum_kv_transfer ? more : 0;
-  const int64_t fresh = shape.prompt_tokens - kept - copied;
-  const double copying =
+  const int64_t cached = KeptOf(state.cache, shape, false);
+  const int64_t transferable = source.tokens - cached;
+  const int64_t copied =
+      transferable >= this->options.minimum_kv_transfer ? transferable : 0;
+  const int64_t new_tokens = shape.prompt_tokens - cached - copied;
+  const double transfer_seconds =
       copied > 0
           ? pace.Copying(copied) * (source.zone == state.endpoint.zone ? 1 : 2)
           : 0;
   // The request's own last part must be prefilled on any engine; the rest is a
   // cache miss.
   const int64_t own = shape.parts.empty() ? 0 : shape.parts.back().tokens;
-  const double missed = static_cast<double>(std::max<int64_t>(fresh - own, 0));
-  const bool reader = state.endpoint.role == EndpointRole::kPrefill;
-  const double waiting = static_cast<double>(state.waiting_tokens +
-                                             this->PeerWork(id).prompt_tokens) /
-                         rate;
-  const double reading = waiting + static_cast<double>(fresh) / rate;
-  const double seconds =
-      reading + copying + (reader ? pace.AfterReading() : pace.FirstToken());
+  const double missed_tokens =
+      static_cast<double>(std::max<int64_t>(new_tokens - own, 0));
+  const bool is_prefill = state.endpoint.role == EndpointRole::kPrefill;
+  const double queue_seconds =
+      static_cast<double>(state.waiting_tokens +
+                          this->PeerWork(id).prompt_tokens) /
+      rate;
+  const double prefill_seconds =
+      queue_seconds + static_cast<double>(new_tokens) / rate;
+  const double seconds = prefill_seconds + transfer_seconds +
+                         (is_prefill ? pace.AfterReading() : pace.FirstToken());
   const double decode_stall =
-      reader ? 0
-             : this->StreamPenalty(state, shape) +
-                   this->DecodeStall(now, state, shape,
-                                     {.tokens = fresh,
-                                      .own = static_cast<double>(fresh) / rate,
-                                      .all = reading});
+      is_prefill ? 0
+                 : this->StreamPenalty(state, shape) +
+                       this->DecodeStall(
+                           now, state, shape,
+                           {.tokens = new_tokens,
+                            .own = static_cast<double>(new_tokens) / rate,
+                            .all = prefill_seconds});
   return {.endpoint = id,
           .score = seconds + this->Penalty(state, shape) + decode_stall +
-                   (this->options.miss_weight - 1) * missed / rate,
+                   (this->options.miss_weight - 1) * missed_tokens / rate,
           .seconds = seconds,
-          .waiting = waiting,
-          .new_tokens = fresh,
+          .waiting = queue_seconds,
+          .new_tokens = new_tokens,
           .copied_tokens = copied,
-          .reader = reader};
+          .reader = is_prefill};
 }
 
 // Adds a penalty for each engine's rank in the weighted rendezvous order of the
@@ -343,29 +350,29 @@
 // prefill rate.
 void FleetPlacement::AddRendezvousPenalty(const WorkShape& shape,
                                           std::vector<Weighed>& weighed) const {
-  struct Place {
+  struct Rank {
     double draw = 0;
     Weighed* engine = nullptr;
   };
   const uint64_t part = AffinityOf(shape);
-  std::vector<Place> order;
+  std::vector<Rank> order;
   for (Weighed& one : weighed) {
     const double rate = this->Rate(this->states.at(one.endpoint));
     order.push_back(
         {.draw = -std::log(1 - HashPlace(part, one.endpoint)) / rate,
          .engine = &one});
   }
-  std::ranges::sort(order, {}, &Place::draw);
+  std::ranges::sort(order, {}, &Rank::draw);
   const int64_t own = shape.parts.empty() ? 0 : shape.parts.back().tokens;
   const int64_t shared = std::max<int64_t>(shape.prompt_tokens - own, 0);
   const double step =
       static_cast<double>(
           std::min(this->options.rendezvous_rank_penalty_tokens, shared)) /
       this->Pace(shape.service).PromptTokens(EndpointRole::kPrefill);
-  int64_t place = 0;
-  for (const Place& one : order) {
+  int64_t rank = 0;
+  for (const Rank& one : order) {
     one.engine->score += step * static_cast<double>(std::min(
-                                    place++, this->options.rendezvous_ranks));
+                                    rank++, this->options.rendezvous_ranks));
   }
 }
 
@@ -373,16 +380,18 @@
     const State& state,
     const WorkShape& shape) const {
   const EndpointOutstanding others = this->PeerWork(state.endpoint.run.id);
-  const double one = this->PlainSeconds(shape.service);
+  const double call_seconds = this->PlainSeconds(shape.service);
   const double slots =
       static_cast<double>(std::max<int64_t>(state.endpoint.slots, 1));
-  const double before = static_cast<double>(state.running + others.requests);
-  const double seconds = one * (1 + std::floor(before / slots));
-  return {.endpoint = state.endpoint.run.id,
-          .score = one * before / slots + this->Penalty(state, shape),
-          .seconds = before / slots > this->options.plain_queue
-                         ? ToSeconds(shape.patience) + seconds
-                         : seconds};
+  const double outstanding =
+      static_cast<double>(state.running + others.requests);
+  const double seconds = call_seconds * (1 + std::floor(outstanding / slots));
+  return {
+      .endpoint = state.endpoint.run.id,
+      .score = call_seconds * outstanding / slots + this->Penalty(state, shape),
+      .seconds = outstanding / slots > this->options.plain_queue
+                     ? ToSeconds(shape.patience) + seconds
+                     : seconds};
 }
 
 // Refuses a request that no endpoint can answer in time, or whose queueing time
@@ -393,16 +402,17 @@
     const Weighed& best) const {
   const double soonest =
       std::ranges::min(weighed, {}, &Weighed::seconds).seconds;
-  const double late = soonest - ToSeconds(shape.patience);
-  const double queued = shape.begun
-                            ? 0
-                            : best.waiting - this->options.longest_wait *
-                                                 ToSeconds(TargetOf(shape));
-  if (std::max(late, queued) <= 0) {
+  const double excess_latency = soonest - ToSeconds(shape.patience);
+  const double excess_queueing =
+      shape.begun ? 0
+                  : best.waiting -
+                        this->options.longest_wait * ToSeconds(TargetOf(shape));
+  if (std::max(excess_latency, excess_queueing) <= 0) {
     return {};
   }
-  return Refused{.reason = "overloaded",
-                 .retry_after = FromSeconds(std::max(late, queued))};
+  return Refused{
+      .reason = "overloaded",
+      .retry_after = FromSeconds(std::max(excess_latency, excess_queueing))};
 }
 
 Verdict FleetPlacement::Place(Instant now,
@@ -466,11 +476,11 @@
 std::optional<EndpointId> FleetPlacement::PlaceAnswer(
     Instant now,
     const WorkShape& shape,
-    const EndpointId& reader,
+    const EndpointId& prefill_endpoint,
     const std::set<EndpointId>& tried) const {
-  const auto from = this->states.find(reader);
+  const auto prefill_state = this->states.find(prefill_endpoint);
   const EnginePace& pace = this->Pace(shape.service);
-  const double crossing =
+  const double other_zone_cost =
       std::max(pace.AfterReading() - pace.FirstToken(), 0.0) +
       this->options.other_zone_handover *
           static_cast<double>(shape.prompt_tokens) /
@@ -485,13 +495,14 @@
     const EndpointOutstanding others = this->PeerWork(id);
     // The answer waits for a prefill chunk on that engine, and the KV transfer
     // to another zone takes twice as long and costs more.
-    const bool far = from != this->states.end() &&
-                     from->second.endpoint.zone != state.endpoint.zone;
+    const bool is_other_zone =
+        prefill_state != this->states.end() &&
+        prefill_state->second.endpoint.zone != state.endpoint.zone;
     const double score =
         static_cast<double>(state.waiting_tokens + others.prompt_tokens) /
             this->Rate(state) +
-        (far ? crossing : 0) + this->StreamPenalty(state, shape) +
-        this->Penalty(state, shape);
+        (is_other_zone ? other_zone_cost : 0) +
+        this->StreamPenalty(state, shape) + this->Penalty(state, shape);
     if (!best || score < least) {
       best = id;
       least = score;
@@ -545,9 +556,9 @@
     return;
   }
   const EnginePace& pace = this->Pace(state.endpoint.service);
-  const bool reads = state.endpoint.role == EndpointRole::kPrefill;
+  const bool is_prefill = state.endpoint.role == EndpointRole::kPrefill;
   const double other_delays =
-      (reads ? 0 : pace.FirstToken()) +
+      (is_prefill ? 0 : pace.FirstToken()) +
       (work.what.copied_tokens > 0 ? pace.Copying(work.what.copied_tokens) : 0);
   const double measured = (ToSeconds(took) - other_delays) *
                           pace.PromptTokens(state.endpoint.role) /
@@ -592,19 +603,19 @@
 }
 
 void FleetPlacement::OnEnded(Instant /*now*/, WorkId work) {
-  const auto over = this->works.extract(work);
-  if (over.empty()) {
+  const auto ended = this->works.extract(work);
+  if (ended.empty()) {
     return;
   }
-  if (State* state = this->Find(over.mapped())) {
+  if (State* state = this->Find(ended.mapped())) {
     --state->running;
-    if (over.mapped().read) {
+    if (ended.mapped().read) {
       return;
     }
-    state->waiting_tokens -= over.mapped().what.new_tokens;
+    state->waiting_tokens -= ended.mapped().what.new_tokens;
     // It is not known how much was prefilled. An unconfirmed entry would
     // attract the same prompt to this engine again.
-    for (const PartTokens& part : over.mapped().parts) {
+    for (const PartTokens& part : ended.mapped().parts) {
       state->cache.DropUnconfirmed(part.part);
     }
   }
--- a/packages/decisions/fleet_placement.h
+++ b/packages/decisions/fleet_placement.h
@@ -147,8 +147,8 @@
   auto operator<=>(const WorkShape&) const = default;
 };
 
-// The endpoint for a request. If `reader` is set, that engine prefills the
-// prompt and hands it over to `endpoint`, which generates.
+// The endpoint for a request. If `prefill_endpoint` is set, that engine
+// prefills the prompt and hands it over to `endpoint`, which generates.
 struct Placed {
   EndpointId endpoint;
   std::optional<EndpointId> reader;     // prefills the prompt
@@ -212,11 +212,12 @@
                 const WorkShape& shape,
                 const std::set<EndpointId>& tried) const;
 
-  // Selects the engine that generates, after `reader` has prefilled the prompt.
+  // Selects the engine that generates, after `prefill_endpoint` has prefilled
+  // the prompt.
   std::optional<EndpointId> PlaceAnswer(
       Instant now,
       const WorkShape& shape,
-      const EndpointId& reader,
+      const EndpointId& prefill_endpoint,
       const std::set<EndpointId>& tried) const;
 
   // Records that a request was refused and that capacity is expected after
@@ -293,7 +294,7 @@
   // Rate estimates measured on this host, for hosts that have just started, and
   // adoption of those that another host measured.
   PaceByService OwnPace() const;
-  void AdoptPace(const PaceByService& told);
+  void AdoptPace(const PaceByService& received);
 
  private:
   struct State {
--- a/packages/decisions/role_plan.cc
+++ b/packages/decisions/role_plan.cc
@@ -57,8 +57,8 @@
                                    const ServiceId& service,
                                    const RoleLoad& load,
                                    const RolePlanOptions& options) {
-  ByZone readers;
-  ByZone generators;
+  ByZone prefill_engines;
+  ByZone decode_engines;
   std::map<ZoneId, int64_t> zones;
   int64_t slots = 0;
   for (const auto& [id, endpoint] : endpoints) {
@@ -68,11 +68,11 @@
     }
     ++zones[endpoint.zone];
     slots += endpoint.slots;
-    ByZone& of_role =
-        endpoint.role == EndpointRole::kPrefill ? readers : generators;
+    ByZone& of_role = endpoint.role == EndpointRole::kPrefill ? prefill_engines
+                                                              : decode_engines;
     of_role[endpoint.zone].push_back(id);
   }
-  const int64_t engines = CountAll(readers) + CountAll(generators);
+  const int64_t engines = CountAll(prefill_engines) + CountAll(decode_engines);
   if (engines < 2) {
     return {};
   }
@@ -86,20 +86,22 @@
       std::max({needed + options.spare_engines, share,
                 static_cast<int64_t>(zones.size()) + options.spare_engines}),
       1, std::max<int64_t>(engines / 2, 1));
-  if (CountAll(generators) > wanted + options.tolerated_more) {
-    return RoleChange{.endpoint = Cheapest(endpoints, generators, load, true),
-                      .role = EndpointRole::kPrefill};
+  if (CountAll(decode_engines) > wanted + options.tolerated_more) {
+    return RoleChange{
+        .endpoint = Cheapest(endpoints, decode_engines, load, true),
+        .role = EndpointRole::kPrefill};
   }
-  if (CountAll(generators) >= wanted || readers.empty()) {
+  if (CountAll(decode_engines) >= wanted || prefill_engines.empty()) {
     return {};
   }
   // Prefers a zone without decode engines. Decode engines should not be spot
   // engines, since reclaiming one breaks its streams.
-  const auto bare = std::ranges::find_if(readers, [&](const auto& entry) {
-    return !generators.contains(entry.first);
-  });
-  const ByZone candidates =
-      bare != readers.end() ? ByZone{*bare} : std::move(readers);
+  const auto zone_without_decode = std::ranges::find_if(
+      prefill_engines,
+      [&](const auto& entry) { return !decode_engines.contains(entry.first); });
+  const ByZone candidates = zone_without_decode != prefill_engines.end()
+                                ? ByZone{*zone_without_decode}
+                                : std::move(prefill_engines);
   return RoleChange{.endpoint = Cheapest(endpoints, candidates, load, false),
                     .role = EndpointRole::kDecode};
 }
--- a/packages/decisions/scale_plan.cc
+++ b/packages/decisions/scale_plan.cc
@@ -33,14 +33,14 @@
 // `room`. The cheaper zones get the remainder.
 template <typename Room, typename Add>
 void Deal(const std::vector<ZoneId>& zones, int64_t count, Room room, Add add) {
-  bool dealt = true;
-  while (count > 0 && dealt) {
-    dealt = false;
+  bool progress = true;
+  while (count > 0 && progress) {
+    progress = false;
     for (const ZoneId& zone : zones) {
       if (count > 0 && room(zone)) {
         add(zone);
         --count;
-        dealt = true;
+        progress = true;
       }
     }
   }
@@ -66,7 +66,7 @@
   return UsesSpot(bounds, options) ? bounds.spot_price : 1;
 }
 
-int64_t EnginesWanted(double reading,
+int64_t EnginesWanted(double prefill_load,
                       double price,
                       const ScaleBounds& bounds,
                       const ScalePlanOptions& options) {
@@ -74,8 +74,8 @@
                            ? options.reading_share_spot
                            : options.prefill_share_on_demand;
   const auto zones = static_cast<int64_t>(bounds.zone_prices.size());
-  return std::min(static_cast<int64_t>(std::ceil(reading / share)) + zones +
-                      options.generating_spare,
+  return std::min(static_cast<int64_t>(std::ceil(prefill_load / share)) +
+                      zones + options.generating_spare,
                   MostEngines(bounds));
 }
 
@@ -110,11 +110,11 @@
       [&](const ZoneId& zone) { ++plan[zone].on_demand; });
   int64_t spare = std::max<int64_t>(Live(now) - needed, 0);
   for (auto& [zone, counts] : plan) {
-    const int64_t has = In(now, zone).on_demand;
-    if (has > counts.on_demand) {
-      const int64_t gone = std::min(spare, has - counts.on_demand);
-      counts.on_demand = has - gone;
-      spare -= gone;
+    const int64_t current = In(now, zone).on_demand;
+    if (current > counts.on_demand) {
+      const int64_t removed = std::min(spare, current - counts.on_demand);
+      counts.on_demand = current - removed;
+      spare -= removed;
     }
   }
   const auto in_bounds = [&](const ZoneId& zone) {
--- a/packages/decisions/scale_plan.h
+++ b/packages/decisions/scale_plan.h
@@ -60,10 +60,10 @@
   int64_t tolerated_less = 3;
 };
 
-// Returns the number of engines for a load that keeps `reading` engines busy
-// with prefill all the time, if another engine costs `price` times an on-demand
-// one.
-int64_t EnginesWanted(double reading,
+// Returns the number of engines for a load that keeps `prefill_load` engines
+// busy with prefill all the time, if another engine costs `price` times an
+// on-demand one.
+int64_t EnginesWanted(double prefill_load,
                       double price,
                       const ScaleBounds& bounds,
                       const ScalePlanOptions& options = {});
--- a/packages/decisions/scheduler_choice.cc
+++ b/packages/decisions/scheduler_choice.cc
@@ -27,31 +27,31 @@
   });
   // A linked scheduler reports its state only when it changes, which may have
   // been before the scheduler was listed here.
-  for (const auto& [id, told] : this->news) {
-    this->Apply(id, told);
+  for (const auto& [id, reported] : this->news) {
+    this->Apply(id, reported);
   }
 }
 
 void SchedulerChoice::OnNews(const HostId& scheduler,
-                             const SchedulerState& told) {
-  this->news[scheduler] = told;
-  this->Apply(scheduler, told);
+                             const SchedulerState& reported) {
+  this->news[scheduler] = reported;
+  this->Apply(scheduler, reported);
 }
 
 // A scheduler that becomes ready starts at the lowest forwarded share of the
 // others. Otherwise it would get every request until it had caught up.
 void SchedulerChoice::Apply(const HostId& scheduler,
-                            const SchedulerState& told) {
+                            const SchedulerState& reported) {
   const auto found = this->states.find(scheduler);
   if (found == this->states.end()) {
     return;
   }
   State& state = found->second;
-  if (told.ready && !state.told.ready) {
+  if (reported.ready && !state.told.ready) {
     state.forwarded = std::max(state.forwarded, this->LeastForwarded());
   }
-  state.told = told;
-  this->version = std::max(this->version, told.version);
+  state.told = reported;
+  this->version = std::max(this->version, reported.version);
 }
 
 void SchedulerChoice::NoteAppliedVersion(int64_t applied_version) {
--- a/packages/decisions/scheduler_choice.h
+++ b/packages/decisions/scheduler_choice.h
@@ -39,7 +39,7 @@
   void SetSchedulers(const std::vector<FleetHost>& schedulers);
 
   // Records the state that a linked scheduler reported.
-  void OnNews(const HostId& scheduler, const SchedulerState& told);
+  void OnNews(const HostId& scheduler, const SchedulerState& reported);
 
   // Records that this host has applied a configuration version itself.
   // Schedulers with an older version are no longer chosen.
@@ -70,7 +70,7 @@
     double forwarded = 0;  // requests per unit of capacity
   };
 
-  void Apply(const HostId& scheduler, const SchedulerState& told);
+  void Apply(const HostId& scheduler, const SchedulerState& reported);
   bool Serves(const State& state) const;
   double LeastForwarded() const;
   int64_t LeastInFlight() const;
