--- a/packages/decisions/fleet_placement.cc
+++ b/packages/decisions/fleet_placement.cc
@@ -10,41 +10,41 @@
 namespace hickorystand {
 namespace {
 
-// Weight of the newest outcome in an endpoint's failure share: about ten
-// outcomes are remembered.
+// Weight of the newest outcome in an endpoint's failure share, which averages
+// about ten outcomes.
 constexpr double kOutcomeWeight = 0.15;
 
-// Weight of the newest measurement of an engine's slowness, and the prompt
-// tokens that it needs: on short readings other delays weigh more.
+// Weight of the newest measurement of an engine's slowness, and the fewest
+// prompt tokens for a measurement: for short prompts, other delays dominate.
 constexpr double kSlownessWeight = 0.12;
 constexpr int64_t kLeastMeasured = 2000;
 
-// Weight of the newest pause between two events of a stream, and how long what
-// was measured holds without a newer one.
+// Weight of the newest pause between two events of a stream, and how long the
+// mean stays valid without a new pause.
 constexpr double kPauseWeight = 0.03;
 constexpr Duration kPauseMemory = std::chrono::seconds(2);
 
-// The most that long pauses raise the cost of reading among streams.
+// Upper bound of the factor by which long pauses raise the prefill penalty.
 constexpr double kMostPauseShare = 3;
 
-// Without a refusal for so long, an overload is over.
+// An overload ends after this long without a refusal.
 constexpr Duration kOverloadPause = std::chrono::milliseconds(300);
 
-// The target latency of requests whose route has none.
+// Target latency of requests whose route has none.
 constexpr Duration kUsualTarget = std::chrono::milliseconds(600);
 
 // Weight of the newest duration of a plain call.
 constexpr double kPlainWeight = 0.1;
 
-// A place in [0, 1) for a part at an endpoint, the same on every host.
+// Maps a part and an endpoint to [0, 1), identically on every host.
 double HashPlace(uint64_t part, const EndpointId& endpoint) {
   const std::string& id = endpoint.Text();
   const uint64_t hash = XXH3_64bits_withSeed(id.data(), id.size(), part);
   return static_cast<double>(hash >> 11) / static_cast<double>(1ULL << 53);
 }
 
-// The part that a prompt shares with others and that is the longest to read
-// up to: the last but one. The last one is the request's own.
+// The longest shared part of a prompt, the key of rendezvous hashing: the last
+// but one, since the last part is specific to the request.
 uint64_t AffinityOf(const WorkShape& shape) {
   if (shape.parts.empty()) {
     return 0;
@@ -52,7 +52,7 @@
   return shape.parts[shape.parts.size() > 1 ? shape.parts.size() - 2 : 0].part;
 }
 
-// The tokens of a request's prompt that an engine keeps.
+// The number of the prompt's tokens that an engine has cached.
 int64_t KeptOf(const EngineCache& cache,
                const WorkShape& shape,
                bool confirmed_only) {
@@ -136,8 +136,8 @@
   return own;
 }
 
-void FleetPlacement::AdoptPace(const PaceByService& told) {
-  for (const auto& [service, figures] : told) {
+void FleetPlacement::AdoptPace(const PaceByService& received) {
+  for (const auto& [service, figures] : received) {
     this->PaceOf(service).Adopt(figures);
   }
 }
@@ -160,15 +160,16 @@
       state.endpoint.zone == this->options.zone
           ? 0
           : this->options.other_zone * ToSeconds(TargetOf(shape));
-  const bool known = !this->connected || this->connected(state.endpoint);
+  const bool is_connected = !this->connected || this->connected(state.endpoint);
   const double connecting =
-      known ? 0 : this->options.new_connection * ToSeconds(TargetOf(shape));
+      is_connected ? 0
+                   : this->options.new_connection * ToSeconds(TargetOf(shape));
   return zone + connecting +
          state.failure_share * ToSeconds(this->options.failure_penalty);
 }
 
-// What speaks against generating there: the requests that run there already,
-// and that the engine may be reclaimed.
+// Penalty for generating on an engine: for the requests that run there, and
+// because a spot engine may be reclaimed.
 double FleetPlacement::StreamPenalty(const State& state,
                                      const WorkShape& shape) const {
   const double taken =
@@ -207,8 +208,8 @@
              : shape.prompt_tokens - KeptOf(found->second.cache, shape, false);
 }
 
-// The engine that keeps the most of a prompt's start. One that leaves still
-// gives copies.
+// The engine with the longest cached prefix of the prompt. A draining engine
+// still serves as a transfer source.
 FleetPlacement::Source FleetPlacement::BestSource(
     const WorkShape& shape) const {
   Source best;
@@ -217,12 +218,12 @@
         state.failures_in_row >= this->options.failures_to_eject - 1) {
       continue;
     }
-    const int64_t kept = KeptOf(state.cache, shape, true);
-    const bool nearer = kept == best.tokens && kept > 0 &&
+    const int64_t cached = KeptOf(state.cache, shape, true);
+    const bool nearer = cached == best.tokens && cached > 0 &&
                         state.endpoint.zone == this->options.zone &&
                         best.zone != this->options.zone;
-    if (kept > best.tokens || nearer) {
-      best = {.endpoint = id, .zone = state.endpoint.zone, .tokens = kept};
+    if (cached > best.tokens || nearer) {
+      best = {.endpoint = id, .zone = state.endpoint.zone, .tokens = cached};
     }
   }
   return best;
@@ -251,13 +252,14 @@
 void FleetPlacement::OnPause(Instant now,
                              const ServiceId& service,
                              Duration pause) {
-  Pauses& known = this->pauses[service];
-  known.mean += kPauseWeight * (ToSeconds(pause) - known.mean);
-  known.last = now;
+  Pauses& pauses_of_service = this->pauses[service];
+  pauses_of_service.mean +=
+      kPauseWeight * (ToSeconds(pause) - pauses_of_service.mean);
+  pauses_of_service.last = now;
 }
 
-// How near the pauses of a service's streams are to being too long: 0 while
-// they are short, 1 and more where reading must not make them longer.
+// How close the pauses of a service's streams are to the allowed pause: 0 while
+// they are short; from 1 on, prefill must not lengthen them further.
 double FleetPlacement::PauseShare(Instant now,
                                   const ServiceId& service,
                                   double target) const {
@@ -266,15 +268,15 @@
       now - found->second.last > kPauseMemory) {
     return 0;
   }
-  const double over = found->second.mean / target - this->options.pause_free;
+  const double excess = found->second.mean / target - this->options.pause_free;
   return std::clamp(
-      over / (this->options.pause_full - this->options.pause_free), 0.0,
+      excess / (this->options.pause_full - this->options.pause_free), 0.0,
       kMostPauseShare);
 }
 
-// What reading at an engine that generates costs the streams that run there.
-// Between two of their tokens it reads a piece, so that on slow engines a
-// stream of many tokens missed its deadline while prompts were read all along.
+// Penalty for prefill on a decode engine. The engine prefills a chunk between
+// two tokens of its streams; on slow engines, continuous prefill made streams
+// with many tokens miss their deadline.
 double FleetPlacement::DecodeStall(Instant now,
                                    const State& state,
                                    const WorkShape& shape,
@@ -302,68 +304,75 @@
   const EndpointId& id = state.endpoint.run.id;
   const EnginePace& pace = this->Pace(shape.service);
   const double rate = this->Rate(state);
-  const int64_t kept = KeptOf(state.cache, shape, false);
-  const int64_t more = source.tokens - kept;
-  const int64_t copied = more >= this->options.minimum_kv_transfer ? more : 0;
-  const int64_t fresh = shape.prompt_tokens - kept - copied;
-  const double copying =
+  const int64_t cached = KeptOf(state.cache, shape, false);
+  const int64_t transferable = source.tokens - cached;
+  const int64_t copied =
+      transferable >= this->options.minimum_kv_transfer ? transferable : 0;
+  const int64_t new_tokens = shape.prompt_tokens - cached - copied;
+  const double transfer_seconds =
       copied > 0
           ? pace.Copying(copied) * (source.zone == state.endpoint.zone ? 1 : 2)
           : 0;
-  // What only this request has must be read anywhere; the rest is a miss.
+  // The request's own last part must be prefilled on any engine; the rest is a
+  // cache miss.
   const int64_t own = shape.parts.empty() ? 0 : shape.parts.back().tokens;
-  const double missed = static_cast<double>(std::max<int64_t>(fresh - own, 0));
-  const bool reader = state.endpoint.role == EndpointRole::kPrefill;
-  const double waiting = static_cast<double>(state.waiting_tokens +
-                                             this->PeerWork(id).prompt_tokens) /
-                         rate;
-  const double reading = waiting + static_cast<double>(fresh) / rate;
-  const double seconds =
-      reading + copying + (reader ? pace.AfterReading() : pace.FirstToken());
+  const double missed_tokens =
+      static_cast<double>(std::max<int64_t>(new_tokens - own, 0));
+  const bool is_prefill = state.endpoint.role == EndpointRole::kPrefill;
+  const double queue_seconds =
+      static_cast<double>(state.waiting_tokens +
+                          this->PeerWork(id).prompt_tokens) /
+      rate;
+  const double prefill_seconds =
+      queue_seconds + static_cast<double>(new_tokens) / rate;
+  const double seconds = prefill_seconds + transfer_seconds +
+                         (is_prefill ? pace.AfterReading() : pace.FirstToken());
   const double decode_stall =
-      reader ? 0
-             : this->StreamPenalty(state, shape) +
-                   this->DecodeStall(now, state, shape,
-                                     {.tokens = fresh,
-                                      .own = static_cast<double>(fresh) / rate,
-                                      .all = reading});
+      is_prefill ? 0
+                 : this->StreamPenalty(state, shape) +
+                       this->DecodeStall(
+                           now, state, shape,
+                           {.tokens = new_tokens,
+                            .own = static_cast<double>(new_tokens) / rate,
+                            .all = prefill_seconds});
   return {.endpoint = id,
           .score = seconds + this->Penalty(state, shape) + decode_stall +
-                   (this->options.miss_weight - 1) * missed / rate,
+                   (this->options.miss_weight - 1) * missed_tokens / rate,
           .seconds = seconds,
-          .waiting = waiting,
-          .new_tokens = fresh,
+          .waiting = queue_seconds,
+          .new_tokens = new_tokens,
           .copied_tokens = copied,
-          .reader = reader};
+          .reader = is_prefill};
 }
 
-// Adds to each engine's score its place in the order of the prompt's longest
-// shared part. Engines come first in proportion to their reading rate.
+// Adds a penalty for each engine's rank in the weighted rendezvous order of the
+// prompt's longest shared part. An engine comes first in proportion to its
+// prefill rate.
 void FleetPlacement::AddRendezvousPenalty(const WorkShape& shape,
                                           std::vector<Weighed>& weighed) const {
-  struct Place {
+  struct Rank {
     double draw = 0;
     Weighed* engine = nullptr;
   };
   const uint64_t part = AffinityOf(shape);
-  std::vector<Place> order;
+  std::vector<Rank> order;
   for (Weighed& one : weighed) {
     const double rate = this->Rate(this->states.at(one.endpoint));
     order.push_back(
         {.draw = -std::log(1 - HashPlace(part, one.endpoint)) / rate,
          .engine = &one});
   }
-  std::ranges::sort(order, {}, &Place::draw);
+  std::ranges::sort(order, {}, &Rank::draw);
   const int64_t own = shape.parts.empty() ? 0 : shape.parts.back().tokens;
   const int64_t shared = std::max<int64_t>(shape.prompt_tokens - own, 0);
   const double step =
       static_cast<double>(
           std::min(this->options.rendezvous_rank_penalty_tokens, shared)) /
       this->Pace(shape.service).PromptTokens(EndpointRole::kPrefill);
-  int64_t place = 0;
-  for (const Place& one : order) {
+  int64_t rank = 0;
+  for (const Rank& one : order) {
     one.engine->score += step * static_cast<double>(std::min(
-                                    place++, this->options.rendezvous_ranks));
+                                    rank++, this->options.rendezvous_ranks));
   }
 }
 
@@ -371,36 +380,39 @@
     const State& state,
     const WorkShape& shape) const {
   const EndpointOutstanding others = this->PeerWork(state.endpoint.run.id);
-  const double one = this->PlainSeconds(shape.service);
+  const double call_seconds = this->PlainSeconds(shape.service);
   const double slots =
       static_cast<double>(std::max<int64_t>(state.endpoint.slots, 1));
-  const double before = static_cast<double>(state.running + others.requests);
-  const double seconds = one * (1 + std::floor(before / slots));
-  return {.endpoint = state.endpoint.run.id,
-          .score = one * before / slots + this->Penalty(state, shape),
-          .seconds = before / slots > this->options.plain_queue
-                         ? ToSeconds(shape.patience) + seconds
-                         : seconds};
-}
-
-// Refuses what can't be served in time anywhere, and what would have to wait so
-// long that all who wait are late.
+  const double outstanding =
+      static_cast<double>(state.running + others.requests);
+  const double seconds = call_seconds * (1 + std::floor(outstanding / slots));
+  return {
+      .endpoint = state.endpoint.run.id,
+      .score = call_seconds * outstanding / slots + this->Penalty(state, shape),
+      .seconds = outstanding / slots > this->options.plain_queue
+                     ? ToSeconds(shape.patience) + seconds
+                     : seconds};
+}
+
+// Refuses a request that no endpoint can answer in time, or whose queueing time
+// would make every queued request late.
 std::optional<Refused> FleetPlacement::RefuseIfTooLate(
     const WorkShape& shape,
     const std::vector<Weighed>& weighed,
     const Weighed& best) const {
   const double soonest =
       std::ranges::min(weighed, {}, &Weighed::seconds).seconds;
-  const double late = soonest - ToSeconds(shape.patience);
-  const double queued = shape.begun
-                            ? 0
-                            : best.waiting - this->options.longest_wait *
-                                                 ToSeconds(TargetOf(shape));
-  if (std::max(late, queued) <= 0) {
+  const double excess_latency = soonest - ToSeconds(shape.patience);
+  const double excess_queueing =
+      shape.begun ? 0
+                  : best.waiting -
+                        this->options.longest_wait * ToSeconds(TargetOf(shape));
+  if (std::max(excess_latency, excess_queueing) <= 0) {
     return {};
   }
-  return Refused{.reason = "overloaded",
-                 .retry_after = FromSeconds(std::max(late, queued))};
+  return Refused{
+      .reason = "overloaded",
+      .retry_after = FromSeconds(std::max(excess_latency, excess_queueing))};
 }
 
 Verdict FleetPlacement::Place(Instant now,
@@ -441,7 +453,7 @@
                   .expected = expected};
   }
   const auto answers = this->PlaceAnswer(now, shape, best.endpoint, tried);
-  assert(answers && "an endpoint that answers was found above");
+  assert(answers && "an endpoint that generates was found above");
   return Placed{.endpoint = *answers,
                 .reader = best.endpoint,
                 .copy_from = copy_from,
@@ -464,11 +476,11 @@
 std::optional<EndpointId> FleetPlacement::PlaceAnswer(
     Instant now,
     const WorkShape& shape,
-    const EndpointId& reader,
+    const EndpointId& prefill_endpoint,
     const std::set<EndpointId>& tried) const {
-  const auto from = this->states.find(reader);
+  const auto prefill_state = this->states.find(prefill_endpoint);
   const EnginePace& pace = this->Pace(shape.service);
-  const double crossing =
+  const double other_zone_cost =
       std::max(pace.AfterReading() - pace.FirstToken(), 0.0) +
       this->options.other_zone_handover *
           static_cast<double>(shape.prompt_tokens) /
@@ -481,15 +493,16 @@
       continue;
     }
     const EndpointOutstanding others = this->PeerWork(id);
-    // The answer waits for a piece of the prompts that are read there, and
-    // moving memory to another zone takes twice as long and costs more.
-    const bool far = from != this->states.end() &&
-                     from->second.endpoint.zone != state.endpoint.zone;
+    // The answer waits for a prefill chunk on that engine, and the KV transfer
+    // to another zone takes twice as long and costs more.
+    const bool is_other_zone =
+        prefill_state != this->states.end() &&
+        prefill_state->second.endpoint.zone != state.endpoint.zone;
     const double score =
         static_cast<double>(state.waiting_tokens + others.prompt_tokens) /
             this->Rate(state) +
-        (far ? crossing : 0) + this->StreamPenalty(state, shape) +
-        this->Penalty(state, shape);
+        (is_other_zone ? other_zone_cost : 0) +
+        this->StreamPenalty(state, shape) + this->Penalty(state, shape);
     if (!best || score < least) {
       best = id;
       least = score;
@@ -517,8 +530,8 @@
       .sent = now};
   state.waiting_tokens += sent.new_tokens;
   ++state.running;
-  // Kept from the start: the next request with the same parts that comes here
-  // while this one is read waits for it and finds them.
+  // Inserted before the prefill is done: the next request with the same parts
+  // at this engine waits for the prefill and finds them cached.
   for (const PartTokens& part : shape.parts) {
     state.cache.Keep(part, this->CacheRoom(shape.service), false);
   }
@@ -533,8 +546,8 @@
              : nullptr;
 }
 
-// Compares how long a prompt took to be read with what is usual. Engines of one
-// service differ, and one that turns slow shows nowhere else.
+// Compares a prompt's prefill time with the service's usual one. Engines of one
+// service differ in speed, and nothing else shows that one has become slow.
 void FleetPlacement::LearnSlowness(Duration took,
                                    const Work& work,
                                    State& state) {
@@ -543,9 +556,9 @@
     return;
   }
   const EnginePace& pace = this->Pace(state.endpoint.service);
-  const bool reads = state.endpoint.role == EndpointRole::kPrefill;
+  const bool is_prefill = state.endpoint.role == EndpointRole::kPrefill;
   const double other_delays =
-      (reads ? 0 : pace.FirstToken()) +
+      (is_prefill ? 0 : pace.FirstToken()) +
       (work.what.copied_tokens > 0 ? pace.Copying(work.what.copied_tokens) : 0);
   const double measured = (ToSeconds(took) - other_delays) *
                           pace.PromptTokens(state.endpoint.role) /
@@ -590,19 +603,19 @@
 }
 
 void FleetPlacement::OnEnded(Instant /*now*/, WorkId work) {
-  const auto over = this->works.extract(work);
-  if (over.empty()) {
+  const auto ended = this->works.extract(work);
+  if (ended.empty()) {
     return;
   }
-  if (State* state = this->Find(over.mapped())) {
+  if (State* state = this->Find(ended.mapped())) {
     --state->running;
-    if (over.mapped().read) {
+    if (ended.mapped().read) {
       return;
     }
-    state->waiting_tokens -= over.mapped().what.new_tokens;
-    // Nobody knows how far it was read. Believed to be kept, it would draw the
-    // same prompt here again.
-    for (const PartTokens& part : over.mapped().parts) {
+    state->waiting_tokens -= ended.mapped().what.new_tokens;
+    // It is not known how much was prefilled. An unconfirmed entry would
+    // attract the same prompt to this engine again.
+    for (const PartTokens& part : ended.mapped().parts) {
       state->cache.DropUnconfirmed(part.part);
     }
   }
@@ -656,7 +669,8 @@
           ? this->options.eject_for
           : std::min(state.ejection * 2, this->options.eject_at_most);
   state.out_until = now + state.ejection;
-  // The next failure puts it out again: one request is the probe.
+  // The next failure ejects the endpoint again: one request serves as the
+  // probe.
   state.failures_in_row = this->options.failures_to_eject - 1;
 }
 
--- a/packages/decisions/role_plan.cc
+++ b/packages/decisions/role_plan.cc
@@ -9,7 +9,7 @@
 namespace hickorystand {
 namespace {
 
-// Engines of one role in each zone.
+// Engines of one role, by zone.
 using ByZone = std::map<ZoneId, std::vector<EndpointId>>;
 
 int64_t CountAll(const ByZone& engines) {
@@ -20,17 +20,20 @@
   return count;
 }
 
-// What speaks against changing an engine's role, the strongest reason first.
+// The cost of changing an engine's role, most significant member first.
 struct ChangeCost {
-  int64_t running = 0;      // requests that must end first
-  bool wrong_kind = false;  // a spot engine, or one that stays, where the other
-                            // kind serves better
-  int64_t left_in_zone = 0;  // fewer: negated number of its role in its zone
+  int64_t running = 0;  // requests that must end first
+  // A spot engine would become a decode engine, or an on-demand engine a
+  // prefill engine.
+  bool wrong_kind = false;
+  // Negated number of engines of its role in its zone.
+  int64_t left_in_zone = 0;
 
   auto operator<=>(const ChangeCost&) const = default;
 };
 
-// The engine whose change costs the least; there is one at the least.
+// The engine with the lowest cost of a role change. `engines` must not be
+// empty.
 EndpointId Cheapest(const FleetEndpoints& endpoints,
                     const ByZone& engines,
                     const RoleLoad& load,
@@ -54,8 +57,8 @@
                                    const ServiceId& service,
                                    const RoleLoad& load,
                                    const RolePlanOptions& options) {
-  ByZone readers;
-  ByZone generators;
+  ByZone prefill_engines;
+  ByZone decode_engines;
   std::map<ZoneId, int64_t> zones;
   int64_t slots = 0;
   for (const auto& [id, endpoint] : endpoints) {
@@ -65,11 +68,11 @@
     }
     ++zones[endpoint.zone];
     slots += endpoint.slots;
-    ByZone& of_role =
-        endpoint.role == EndpointRole::kPrefill ? readers : generators;
+    ByZone& of_role = endpoint.role == EndpointRole::kPrefill ? prefill_engines
+                                                              : decode_engines;
     of_role[endpoint.zone].push_back(id);
   }
-  const int64_t engines = CountAll(readers) + CountAll(generators);
+  const int64_t engines = CountAll(prefill_engines) + CountAll(decode_engines);
   if (engines < 2) {
     return {};
   }
@@ -83,20 +86,22 @@
       std::max({needed + options.spare_engines, share,
                 static_cast<int64_t>(zones.size()) + options.spare_engines}),
       1, std::max<int64_t>(engines / 2, 1));
-  if (CountAll(generators) > wanted + options.tolerated_more) {
-    return RoleChange{.endpoint = Cheapest(endpoints, generators, load, true),
-                      .role = EndpointRole::kPrefill};
+  if (CountAll(decode_engines) > wanted + options.tolerated_more) {
+    return RoleChange{
+        .endpoint = Cheapest(endpoints, decode_engines, load, true),
+        .role = EndpointRole::kPrefill};
   }
-  if (CountAll(generators) >= wanted || readers.empty()) {
+  if (CountAll(decode_engines) >= wanted || prefill_engines.empty()) {
     return {};
   }
-  // Where none generates yet, if there is such a zone. Streams go to engines
-  // that can't be reclaimed, since theirs would break.
-  const auto bare = std::ranges::find_if(readers, [&](const auto& entry) {
-    return !generators.contains(entry.first);
-  });
-  const ByZone candidates =
-      bare != readers.end() ? ByZone{*bare} : std::move(readers);
+  // Prefers a zone without decode engines. Decode engines should not be spot
+  // engines, since reclaiming one breaks its streams.
+  const auto zone_without_decode = std::ranges::find_if(
+      prefill_engines,
+      [&](const auto& entry) { return !decode_engines.contains(entry.first); });
+  const ByZone candidates = zone_without_decode != prefill_engines.end()
+                                ? ByZone{*zone_without_decode}
+                                : std::move(prefill_engines);
   return RoleChange{.endpoint = Cheapest(endpoints, candidates, load, false),
                     .role = EndpointRole::kDecode};
 }
--- a/packages/decisions/scheduler_choice.cc
+++ b/packages/decisions/scheduler_choice.cc
@@ -6,8 +6,8 @@
 namespace hickorystand {
 namespace {
 
-// Requests in flight at one scheduler, beyond twice those of the least loaded
-// one, from which on it is taken to be stuck.
+// A scheduler counts as stuck if it has more requests in flight than twice
+// those of the least loaded scheduler plus this number.
 constexpr int64_t kStuckFrom = 6;
 
 double CapacityOf(const FleetHost& host) {
@@ -25,33 +25,33 @@
   std::erase_if(this->states, [&listed](const auto& entry) {
     return !listed.contains(entry.first);
   });
-  // A linked scheduler tells of itself only when something changes, which may
-  // have been before it was listed here.
-  for (const auto& [id, told] : this->news) {
-    this->Apply(id, told);
+  // A linked scheduler reports its state only when it changes, which may have
+  // been before the scheduler was listed here.
+  for (const auto& [id, reported] : this->news) {
+    this->Apply(id, reported);
   }
 }
 
 void SchedulerChoice::OnNews(const HostId& scheduler,
-                             const SchedulerState& told) {
-  this->news[scheduler] = told;
-  this->Apply(scheduler, told);
+                             const SchedulerState& reported) {
+  this->news[scheduler] = reported;
+  this->Apply(scheduler, reported);
 }
 
-// A scheduler that has just come begins level with the others: it would get
-// every request until it had caught up.
+// A scheduler that becomes ready starts at the lowest forwarded share of the
+// others. Otherwise it would get every request until it had caught up.
 void SchedulerChoice::Apply(const HostId& scheduler,
-                            const SchedulerState& told) {
+                            const SchedulerState& reported) {
   const auto found = this->states.find(scheduler);
   if (found == this->states.end()) {
     return;
   }
   State& state = found->second;
-  if (told.ready && !state.told.ready) {
+  if (reported.ready && !state.told.ready) {
     state.forwarded = std::max(state.forwarded, this->LeastForwarded());
   }
-  state.told = told;
-  this->version = std::max(this->version, told.version);
+  state.told = reported;
+  this->version = std::max(this->version, reported.version);
 }
 
 void SchedulerChoice::NoteAppliedVersion(int64_t applied_version) {
@@ -71,7 +71,7 @@
   return state.told.ready && state.told.version >= this->version;
 }
 
-// Draining schedulers get fewer requests than their share.
+// Draining schedulers are left out: they get fewer requests than their share.
 double SchedulerChoice::LeastForwarded() const {
   std::optional<double> least;
   for (const auto& [id, state] : this->states) {
