--- a/packages/decisions/admission.cc
+++ b/packages/decisions/admission.cc
@@ -38,8 +38,9 @@
   });
 }
 
-// Without the lift an account could save up credit while idle and then keep
-// everybody else out for as long.
+// The counter of an account that becomes active, raised to the current virtual
+// time minus the credit. Otherwise an account could accumulate credit while
+// idle and then starve all others for as long.
 double Admission::Lifted(const Counted& account) const {
   return std::max(
       account.counter,
@@ -50,7 +51,7 @@
                         const Request& request,
                         double cost,
                         bool again) {
-  assert(!this->index.contains(request.id) && "a request is queued twice");
+  assert(!this->index.contains(request.id) && "request is already queued");
   Counted& account = this->accounts[request.account];
   if (account.waiting == 0) {
     account.counter = this->Lifted(account);
@@ -94,7 +95,7 @@
   const bool batch = IsBatch(waiting);
   [[maybe_unused]] const size_t erased =
       (batch ? lines.batch : lines.urgent).erase(waiting);
-  assert(erased == 1 && "the index and the line disagree");
+  assert(erased == 1 && "index and account queue are inconsistent");
   (batch ? lines.batch_cost : lines.urgent_cost) -= waiting.cost;
   this->accounts.at(waiting.account).waiting -= 1;
   if (lines.Empty()) {
@@ -103,7 +104,8 @@
   return true;
 }
 
-// Aged batch work goes by its age, other batch work behind all that is urgent.
+// Batch requests that are due are merged by due time; all others go after the
+// urgent requests.
 std::vector<const Waiting*> Admission::FirstOf(Instant now,
                                                const Lines& lines,
                                                size_t count) const {
@@ -199,7 +201,7 @@
 void Admission::Ended(const AccountId& account) {
   Counted& counted = this->accounts.at(account);
   counted.in_flight -= 1;
-  assert(counted.in_flight >= 0 && "a request ended twice");
+  assert(counted.in_flight >= 0 && "OnEnded() was called twice for a request");
 }
 
 void Admission::OnDigest(const Digest& digest) {
@@ -218,7 +220,7 @@
       continue;
     }
     AccountServed& last = peer.served[served.account];
-    // What a peer served before it was first heard of is no debt here.
+    // Work that a peer served before its first digest is not charged.
     const int64_t before = fresh ? served.cost : (restarted ? 0 : last.cost);
     const auto grown = static_cast<double>(served.cost - before);
     counted->second.counter += grown / counted->second.weight;
@@ -239,8 +241,8 @@
       pool->second.drain <= 0) {
     return 0;
   }
-  // The request starts when its account's counter has come up to this; until
-  // then each other account is served up to the same.
+  // The request starts when its account's counter has reached `start`. Until
+  // then each other account is served up to the same counter value.
   const auto counted = this->accounts.find(request.account);
   const Counted fresh;
   const Counted& account =
--- a/packages/decisions/admission.h
+++ b/packages/decisions/admission.h
@@ -1,16 +1,23 @@
-// The queue of one entry host: which waiting request starts next, and which
-// shouldn't wait at all.
+// The admission queue of one ingress host: selects the next request to start,
+// and identifies requests that cannot meet their deadline.
 //
-// Each client account has a virtual counter of the work it was served, divided
-// by its weight; the account with the lowest counter goes next. Work counts as
-// prompt tokens to compute plus generated tokens at their measured cost. What
-// the account was served by other hosts comes in by digests and counts alike,
-// so hosts agree without talking about single requests. An account that was
-// idle comes back level with the others, less a capped credit.
+// Weighted fair queuing between client accounts. Each account has a virtual
+// counter of the work it has been served, divided by its weight; the account
+// with the lowest counter is next. Work is measured as prompt tokens to compute
+// plus generated tokens weighted by their measured cost. Work served by other
+// hosts is learned from digests and counts in the same way, so that hosts
+// converge on the same order without exchanging single requests. When an idle
+// account becomes active again, its counter is raised to that of the others
+// minus a capped credit.
 //
-// Within an account the earliest due request goes first. Batch work yields to
-// all that a person waits for, but only until it has aged; from then on it is
-// due, so it always arrives.
+// Within an account requests are ordered by due time, earliest first. Batch
+// requests wait behind all others until a maximum age. From then on they are
+// ordered by due time too, so that they are never starved.
+//
+// Index
+//   AdmissionOptions   parameters and switches
+//   QueuedRequest      one entry of the queue
+//   Admission
 
 #pragma once
 
@@ -28,75 +35,84 @@
 
 namespace hickorystand {
 
-// How admission is set. The switches exist for benches and mutation tests.
+// Parameters of admission. The switches exist for benchmarks and mutation
+// tests.
 struct AdmissionOptions {
   uint64_t seed = 1;
-  bool fair = true;               // false: first come, first served
-  bool refuse_unmeetable = true;  // false: wait until the deadline has passed
+  bool fair = true;               // false: first in, first out
+  bool refuse_unmeetable = true;  // false: queue until the deadline has passed
   bool age_batch = true;
-  double idle_credit = 20000;    // tokens an idle account may be ahead
-  double batch_age_share = 0.6;  // of its time to the deadline, then it is due
+  double idle_credit = 20000;    // tokens of credit of an account that was idle
+  double batch_age_share = 0.6;  // of the time to the deadline; then due
   Duration longest_batch_age = std::chrono::minutes(10);
-  double wait_share = 0.8;  // of the time left that may go on waiting
+  double wait_share = 0.8;  // of the remaining time that may be spent waiting
 
   auto operator<=>(const AdmissionOptions&) const = default;
 };
 
-// One request in the queue.
+// One entry of the queue.
 struct Waiting {
   RequestId request;
   AccountId account;
   ServiceId service;
   RequestClass request_class = RequestClass::kInteractive;
-  double cost = 0;
-  Instant due{};  // order within the account
-  uint64_t order = 0;
+  double cost = 0;     // weighted tokens
+  Instant due{};       // order within the account
+  uint64_t order = 0;  // arrival order, breaks ties
 
   bool operator==(const Waiting&) const = default;
 };
 
-// The queue of all services at one host.
+// The queues of all services on one host. A request is added by Enqueue(), and
+// leaves by Start() or Remove(). Every Start() is followed by one OnEnded().
+// Costs are in weighted tokens.
 class Admission {
  public:
   explicit Admission(const AdmissionOptions& options);
 
   void OnConfiguration(const Configuration& configuration);
 
-  // Puts a request into the queue. `again`: it was started before and goes to
-  // the front.
+  // Adds a request to the queue. `requeued`: it was started before; it becomes
+  // due immediately.
   void Enqueue(Instant now, const Request& request, double cost, bool again);
 
-  // Takes a request out; false if it isn't there.
+  // Removes a request. Returns false if it isn't queued.
   bool Remove(const RequestId& request);
 
-  // The first requests of each account, in the order they should start: all
-  // of one account, then all of the next.
+  // The first `per_account` requests of each account, in the order in which
+  // they should start: account by account, lowest counter first, batch requests
+  // that are not due last.
   std::vector<Waiting> Heads(Instant now,
                              const ServiceId& service,
                              size_t per_account) const;
 
-  // A waiting request starts: it leaves the queue and is charged for.
+  // Removes a queued request and charges its cost to the account.
   void Start(Instant now, const RequestId& request);
 
-  // The cost turned out different, or the request never ran.
+  // Corrects the cost charged by Start(): the real cost differed from the
+  // estimate, or the request did not run.
   void Correct(const AccountId& account, double difference);
 
-  // A started request ended.
+  // A started request ended, or will be queued again.
   void Ended(const AccountId& account);
 
-  // What a peer has served so far.
+  // Adds the work that a peer has served since its previous digest to the
+  // counters.
   void OnDigest(const Digest& digest);
   void OnHostGone(const HostId& host);
 
-  // How long a new request would wait here, by the drain rate and its share.
+  // Estimated queue time of a new request, from the drain rate of the service
+  // and the share of its account.
   double ExpectedWaitSeconds(const Request& request, double cost) const;
 
-  // When to come back: the time the queue takes to drain, spread by jitter.
+  // The Retry-After value for a refused request: the time to drain the queue,
+  // with jitter so that callers do not retry all at once.
   Duration RetryAfter(const ServiceId& service);
 
-  // Whether a request may still be in time if it waits so long.
+  // Whether a request can meet its deadline after a wait of `seconds`.
   bool Meetable(Instant now, const Request& request, double seconds) const;
 
+  // Services with queued requests.
   std::vector<ServiceId> Services() const;
   int64_t Size() const { return static_cast<int64_t>(this->index.size()); }
   void FillDigest(Digest& digest) const;
@@ -119,16 +135,16 @@
   struct Counted {
     double weight = 1;
     int64_t max_in_flight = 0;
-    double counter = 0;  // weighted work served anywhere, lifted when idle
-    double served = 0;   // work served here since the start
+    double counter = 0;  // work served by all hosts / weight
+    double served = 0;   // work served here since process start
     int64_t waiting = 0;
     int64_t in_flight = 0;
   };
   struct Pool {
     std::map<AccountId, Lines> lines;
-    double drain = 0;  // cost a second, smoothed
-    Instant drained_at{};
-    double drained = 0;  // cost since then
+    double drain = 0;      // cost per second, smoothed
+    Instant drained_at{};  // start of the measuring window
+    double drained = 0;    // cost started since drained_at
   };
   struct Peer {
     uint64_t incarnation = 0;
--- a/packages/decisions/dispatcher.h
+++ b/packages/decisions/dispatcher.h
@@ -1,17 +1,19 @@
-// The dispatcher decides what becomes of each request on one entry host:
-// whether it is admitted, when, to which endpoint it goes, and what follows
-// when an attempt fails.
+// The dispatcher schedules the requests of one ingress host. For each request
+// it decides whether to admit it, when to start it, on which endpoint, and what
+// to do when an attempt fails.
 //
-// It is pure: events come in with their time, actions go out as values. The
-// daemon, the tests and the benches drive the same class.
+// It performs no I/O and reads no clock: events are passed in with their time,
+// and actions are returned as values. The daemon, the tests and the benchmarks
+// drive the same class.
 //
 //   arrival -> [queue] -> kClaim (non-idempotent only) -> kSend -> progress
 //           -> result -> kSend elsewhere | kFinish | kRefuse
 //
 // Index
 //   Dispatch            one action
-//   DispatcherOptions   how the policies are set
-//   Dispatcher          the interface; policies are chosen by name
+//   DispatcherOptions   construction parameters
+//   ClaimResult         result of a kClaim action
+//   Dispatcher          the interface; implementations are selected by name
 
 #pragma once
 
@@ -29,16 +31,16 @@
 
 namespace hickorystand {
 
-// What the dispatcher wants done.
+// The kinds of action. The caller of the dispatcher carries them out.
 enum class DispatchKind {
   kClaim,   // record that this non-idempotent request is about to run
   kSend,    // open an attempt at an endpoint
-  kCancel,  // abandon an attempt; its result is not wanted
-  kFinish,  // the request is answered in full; forget it
-  kRefuse,  // answer the caller with `error` now; forget the request
+  kCancel,  // cancel an attempt; no OnResult() is expected
+  kFinish,  // the request has been answered; release its state
+  kRefuse,  // answer the caller with `error`; release its state
 };
 
-// An endpoint that was weighed for a request, with its score.
+// An endpoint that was considered for a request, with its score.
 struct Candidate {
   EndpointId endpoint;
   double seconds = 0;  // expected time to the first token there
@@ -46,14 +48,15 @@
   auto operator<=>(const Candidate&) const = default;
 };
 
-// One action. Fields that its kind doesn't name are left empty.
+// One action. The comment of a field names the kinds that set it; it is empty
+// for the others.
 struct Dispatch {
   DispatchKind kind = DispatchKind::kRefuse;
   RequestId request;
   AttemptId attempt = 0;    // kSend, kCancel
   EndpointId endpoint;      // kSend
   int64_t resume_from = 0;  // kSend: generated tokens already delivered
-  bool hedge = false;       // kSend: a second attempt beside the first
+  bool hedge = false;  // kSend: a second attempt in parallel with the first
   std::vector<Candidate> runners_up;  // kSend: for the log, best first
   std::string reason;                 // for the log
   std::optional<Error> error;         // kRefuse
@@ -63,23 +66,24 @@
 
 using DispatchList = std::vector<Dispatch>;
 
-// How a dispatcher is made.
+// Construction parameters of a dispatcher.
 struct DispatcherOptions {
   HostId host;
   DataCentreId data_centre;
   uint64_t seed = 1;
-  int64_t max_queued = 4096;  // requests waiting on this host
+  int64_t max_queued = 4096;  // limit of queued requests on this host
 };
 
-// The answer to a kClaim action.
+// The result of a kClaim action. A claim is a record in the store that keeps a
+// non-idempotent request from running twice.
 enum class ClaimResult {
-  kGranted,      // this host alone may run it
-  kTaken,        // it was claimed before: a duplicate
-  kUnavailable,  // certainly not recorded
-  kUnknown,      // the store's answer was lost; it may be recorded
+  kGranted,      // recorded; only this host may run the request
+  kTaken,        // claimed earlier: this request is a duplicate
+  kUnavailable,  // the claim is not recorded
+  kUnknown,      // the store's reply was lost; the claim may be recorded
 };
 
-// The decisions about all requests of one entry host.
+// Schedules all requests of one ingress host.
 class Dispatcher {
  public:
   static constexpr const char* kPluginKind = "dispatcher";
@@ -88,20 +92,21 @@
 
   virtual ~Dispatcher() = default;
 
-  // A new revision is in force. Queued requests of accounts whose keys are
-  // gone are the gateway's to check when they start.
+  // Applies a new revision of the configuration. Requests already queued for an
+  // account whose keys were removed are not dropped here: the gateway checks
+  // the key again when they start.
   virtual void OnConfiguration(Instant now, ConfigurationPtr configuration) = 0;
 
-  // A request came in and its key was good.
+  // A request arrived and its API key was accepted.
   virtual DispatchList OnArrival(Instant now, const Request& request) = 0;
 
-  // A claim was answered.
+  // The result of a kClaim action.
   virtual DispatchList OnClaim(Instant now,
                                const RequestId& request,
                                ClaimResult result) = 0;
 
-  // An attempt delivered so many more tokens; the first call for an attempt
-  // tells of its first one.
+  // An attempt delivered `generated_tokens` more tokens. The first call for an
+  // attempt reports its first token.
   virtual DispatchList OnProgress(Instant now,
                                   AttemptId attempt,
                                   int64_t generated_tokens) = 0;
@@ -109,28 +114,28 @@
   // An attempt ended.
   virtual DispatchList OnResult(Instant now, const AttemptResult& result) = 0;
 
-  // The caller hung up.
+  // The caller closed its connection before the answer was complete.
   virtual DispatchList OnCallerGone(Instant now, const RequestId& request) = 0;
 
-  // News from endpoints and from other hosts.
+  // Reports from endpoints, and digests from other hosts.
   virtual DispatchList OnLoad(Instant now, const LoadReport& report) = 0;
   virtual void OnCache(Instant now, const CacheEvent& event) = 0;
   virtual DispatchList OnDigest(Instant now, const Digest& digest) = 0;
 
-  // A host has left or is unreachable; what it sent no longer counts.
+  // A host left the group or is unreachable. Its last digest is discarded.
   virtual void OnHostGone(Instant now, const HostId& host) = 0;
 
-  // Call every 10 ms or so: starts queued work, hedges, and refuses what has
-  // run out of time.
+  // Starts queued requests, hedges slow lookups, and refuses requests whose
+  // deadline has passed. To be called about every 10 ms.
   virtual DispatchList OnTick(Instant now) = 0;
 
-  // No request is taken from now on; those already here are finished.
+  // Refuses new requests from now on. Requests already admitted are completed.
   virtual void StartDrain() = 0;
 
-  // Fills in this host's part of the next digest.
+  // Adds this dispatcher's part to the next digest.
   virtual void FillDigest(Digest& digest) const = 0;
 
-  // Requests queued and running here.
+  // Number of requests that are queued and running on this host.
   virtual int64_t Queued() const = 0;
   virtual int64_t Running() const = 0;
 };
