--- a/packages/decisions/decaying_rate.h
+++ b/packages/decisions/decaying_rate.h
@@ -1,4 +1,4 @@
-// A rate over the recent past, with older amounts counting less and less.
+// Exponentially decaying average of a rate.
 
 #pragma once
 
@@ -8,19 +8,19 @@
 
 namespace hickorystand {
 
+// Sums amounts with a weight that decays exponentially with their age.
 class DecayingRate {
  public:
-  // An amount's weight falls to 1/e in `memory`.
+  // The weight of an amount falls to 1/e within `memory`.
   explicit DecayingRate(Duration memory = std::chrono::seconds(8))
       : memory(ToSeconds(memory)) {}
 
-  // Adds an amount that came now.
   void Add(Instant now, double amount) {
     this->sum = this->SumAt(now) + amount;
     this->at = now;
   }
 
-  // The amount a second.
+  // The current rate, in amounts per second.
   double PerSecond(Instant now) const {
     return this->SumAt(now) / this->memory;
   }
--- a/packages/decisions/placement.cc
+++ b/packages/decisions/placement.cc
@@ -21,12 +21,12 @@
 constexpr size_t kSamplesBeforePlans = 20;
 constexpr size_t kSamplesKept = 120;
 constexpr size_t kRecentSamples = 20;
-constexpr double kPlenty = 100;  // times the work, when there is next to none
+constexpr double kPlenty = 100;  // upper limit, for demand near zero
 
 constexpr std::array kLanguageRoles = {
     EndpointRole::kMixed, EndpointRole::kPrefill, EndpointRole::kDecode};
 
-// Seconds of one endpoint that a second of this work takes.
+// Time that one endpoint needs for one second of demand, in seconds.
 double Load(const LeaningWork& work, const RoleRates& rates) {
   const double prompts = work.prefill / rates.prefill;
   return std::max(prompts + work.decode / rates.decode,
@@ -57,7 +57,7 @@
   this->trend += kTrendGain * (this->level - before - this->trend);
 }
 
-// The trend is damped: a ramp isn't taken to go on for ever.
+// The trend is damped, since a ramp does not continue indefinitely.
 double WorkForecast::After(double samples) const {
   double ahead = 0;
   double step = this->trend;
@@ -68,16 +68,16 @@
   return std::max(0.0, this->level + ahead);
 }
 
-// Roles are lined up by how much better they are at prompts than at answers.
-// In the best division of work prompts are taken from the front of that line
-// and answers from its end; the place where they meet is where both are
-// carried to the same share.
+// Roles are sorted by their relative advantage for prompt-heavy over
+// output-heavy work. In the optimal division prompt-heavy work is assigned from
+// the front of that order and output-heavy work from its end. The split point
+// is where both classes reach the same ratio.
 double CarriedShare(const LeaningWork& prompts,
                     const LeaningWork& answers,
                     const std::map<EndpointRole, double>& count,
                     const RoleRatesTable& rates) {
   struct Group {
-    double count, prompts, answers;  // seconds a second of each takes
+    double count, prompts, answers;  // Load() of each class
   };
   std::vector<Group> groups;
   for (const auto& [role, number] : count) {
@@ -134,7 +134,7 @@
                                return entry.second.prefill > 0 &&
                                       entry.second.decode > 0;
                              }) &&
-         "rates of roles must be above zero");
+         "rates of roles must be positive");
 }
 
 Planner::Leaning& Planner::LeaningOf(int64_t prompt_tokens,
@@ -204,8 +204,8 @@
   return {this->Forecast(this->prompts), this->Forecast(this->answers)};
 }
 
-// The share of the work that is carried, over all mixes. Capacity beyond the
-// headroom is worth nothing.
+// The weighted mean of the capacity ratio over the forecast and all past mixes.
+// Capacity beyond the headroom has no value.
 double Planner::Worth(const Counts& counts) const {
   const auto carried = [&](const Mix& mix) {
     return std::min(
@@ -310,8 +310,8 @@
     if (!wish) {
       continue;
     }
-    // The next data centre plans on top of this change, so that all of them
-    // together don't overshoot.
+    // The next data centre plans on the basis of this change, so that the data
+    // centres do not overshoot together.
     for (EndpointState& state : planned) {
       if (state.endpoint.id == wish->endpoint) {
         const auto* role =
@@ -326,8 +326,8 @@
   return wishes;
 }
 
-// Whether every single zone could go without taking a data centre below its
-// floor, or the fleet below the share of work that must be left.
+// Whether the loss of the spot endpoints of any single zone would leave each
+// data centre with its floor and the fleet with zone_loss_share of the demand.
 bool Planner::SurvivesZones(const std::vector<EndpointState>& endpoints,
                             int64_t floor) const {
   std::set<ZoneId> zones;
@@ -414,7 +414,8 @@
   const bool in_surplus =
       since(this->surplus_since, carried > this->options.surplus);
   if (is_short && static_cast<int64_t>(endpoints.size()) < most) {
-    // Where fewest are, and cheap as long as any zone may still go.
+    // Add where there are fewest endpoints; a spot one if the loss of any zone
+    // can still be absorbed.
     std::map<DataCentreId, int64_t> counts;
     for (const EndpointState& state : endpoints) {
       counts[state.endpoint.data_centre] += 1;
--- a/packages/decisions/placement.h
+++ b/packages/decisions/placement.h
@@ -1,24 +1,27 @@
-// Which role each endpoint should have, and how many endpoints there should be.
+// Capacity planning of one service: which role each endpoint should have, and
+// how many endpoints there should be.
 //
-// Work is forecast from what arrives: prompt tokens to compute and tokens to
-// generate, apart for requests that lean to prompts and those that lean to
-// answers. A plan's worth is the share of that work which the endpoints can
-// carry, were each request sent where it costs least. A role change is wished
-// for only if what it wins over the time that the mix is expected to stay
-// exceeds what is lost while the endpoint is away.
+// Demand is forecast from arriving requests, as prompt tokens to compute and
+// tokens to generate per second. Prompt-heavy and output-heavy requests are
+// forecast separately. A plan is rated by its capacity ratio: the capacity of
+// the endpoints divided by the demand, with each request sent to the role where
+// it costs least. A role change is proposed only if its gain over the expected
+// duration of the workload mix exceeds the loss while the endpoint is out of
+// service.
 //
-// Mixes swing within minutes and a change takes an engine away for most of one,
-// so roles are chosen for all mixes of the last minutes, the latest counting
-// most, and not for the present one alone.
+// The mix varies within minutes, and a role change takes an engine out of
+// service for most of a minute. Roles are therefore chosen for all mixes of the
+// last minutes, weighted by recency, and not for the current mix alone.
 //
-// The planner is pure and wishes only. The data centre's coordinator, which
-// holds the lease, turns wishes into orders.
+// The planner has no side effects and only makes proposals. The coordinator of
+// the data centre, which holds the lease, turns them into orders.
 //
 // Index
-//   PlacementOptions             margins and times
-//   PlacementWish, CapacityWish  what comes out
-//   EndpointState                what goes in, per endpoint
-//   WorkForecast                 level and trend of one kind of work
+//   PlacementOptions                      thresholds and durations
+//   PlacementProposal, CapacityProposal   output
+//   EndpointState                         input, per endpoint
+//   RoleRates                             throughput of a role
+//   WorkForecast                          level and trend of a rate
 //   Planner
 
 #pragma once
@@ -36,66 +39,80 @@
 
 namespace hickorystand {
 
-// How the planner is set.
+// Parameters of the planner.
 struct PlacementOptions {
-  Duration sample = std::chrono::seconds(15);   // of the forecast
-  Duration horizon = std::chrono::seconds(30);  // looked ahead
-  Duration dwell = std::chrono::seconds(300);   // a role is taken to last
-  Duration change = std::chrono::seconds(30);   // away, with the drain
-  double half_life = 40;         // samples after which a mix counts half
-  double forecast_share = 0.25;  // of the weight, for what is to come
-  Duration capacity_wait = std::chrono::seconds(60);  // shortfall or surplus
-  double hysteresis = 1.5;   // a change must win this many times its loss
-  double least_gain = 0.02;  // of the work, even if a change loses nothing
-  double headroom = 1.25;    // capacity over forecast work that is worth it
-  double surplus = 1.6;      // capacity over which an endpoint is given back
-  double zone_loss_share = 0.7;  // of the work that a zone's loss must leave
-  Duration load_interval = std::chrono::seconds(30);  // weight store's rate
+  // Interval of the samples, and how far ahead of them the forecast looks.
+  Duration sample = std::chrono::seconds(15);
+  Duration horizon = std::chrono::seconds(30);
+  // How long a role is expected to last, and how long a role change takes the
+  // endpoint out of service, drain included.
+  Duration dwell = std::chrono::seconds(300);
+  Duration change = std::chrono::seconds(30);
+  // Half-life of the weight of a past mix, in samples.
+  double half_life = 40;
+  // Weight of the forecast mix in the rating of a plan; past mixes have the
+  // rest.
+  double forecast_share = 0.25;
+  // How long a shortfall or surplus must last before it is acted on.
+  Duration capacity_wait = std::chrono::seconds(60);
+  // The gain of a role change must exceed its loss by this factor, and in any
+  // case be at least this share of the demand.
+  double hysteresis = 1.5;
+  double least_gain = 0.02;
+  // Capacity ratio to aim for. More capacity than that has no value.
+  double headroom = 1.25;
+  // Capacity ratio above which an endpoint is released.
+  double surplus = 1.6;
+  // Capacity ratio that must remain after the loss of any single zone.
+  double zone_loss_share = 0.7;
+  // Least time between two model loads, by the rate of the weight store.
+  Duration load_interval = std::chrono::seconds(30);
 
   auto operator<=>(const PlacementOptions&) const = default;
 };
 
-// An order that the planner would have the coordinator give.
+// An endpoint order that the planner proposes to the coordinator.
 struct PlacementWish {
   EndpointId endpoint;
-  std::string kind;      // as in endpoint orders: set_role, drain, load_model
+  std::string kind;      // kind of the order: set_role, drain, load_model
   std::string argument;  // the role or the model
   std::string reason;
 
   auto operator<=>(const PlacementWish&) const = default;
 };
 
-// Endpoints to be had from the platform or given back to it.
+// A proposal to request one endpoint from the platform or to release one.
 struct CapacityWish {
   ServiceId service;
   DataCentreId data_centre;
   ZoneId zone;
   bool cheap = false;
   int64_t change = 0;   // +1 or -1
-  EndpointId endpoint;  // the one to be drained and given back
+  EndpointId endpoint;  // -1: the endpoint to drain and release
   std::string reason;
 
   auto operator<=>(const CapacityWish&) const = default;
 };
 
-// One endpoint as the planner sees it.
+// The state of one endpoint, as input of the planner.
 struct EndpointState {
   Endpoint endpoint;
   EndpointRole role = EndpointRole::kMixed;
-  bool up = true;         // takes work
-  bool changing = false;  // drains, changes its role or loads a model
+  bool up = true;         // accepts requests
+  bool changing = false;  // draining, changing its role or loading a model
   int64_t running = 0;
 
   auto operator<=>(const EndpointState&) const = default;
 };
 
-// What an endpoint of a role can do alone with one kind of work, as measured.
+// Measured throughput of one endpoint in a role, with either kind of work
+// alone.
 struct RoleRates {
-  double prefill = 0;  // prompt tokens a second
-  double decode = 0;   // generated tokens a second, whole batch
-  // The most of its time that goes to prompts while answers are generated. It
-  // bounds the prompts that an answer-leaning endpoint can take in, however
-  // few its answers are.
+  double prefill = 0;  // prompt tokens per second
+  double decode = 0;   // generated tokens per second, whole batch
+  // The largest share of its time that the engine spends on prefill while it
+  // decodes. It limits the prompt throughput of a decode endpoint even if there
+  // is little to decode.
   double prefill_share = 1;
 
   auto operator<=>(const RoleRates&) const = default;
@@ -106,10 +123,10 @@
 // Level and trend of a rate (Holt's double exponential smoothing).
 class WorkForecast {
  public:
-  // The rate seen over one sample.
+  // Adds the rate measured over one sample.
   void Add(double rate);
 
-  // The rate expected so many samples from now, never below zero.
+  // The rate expected `samples` samples from now; not negative.
   double After(double samples) const;
 
  private:
@@ -118,7 +135,7 @@
   bool started = false;
 };
 
-// Work a second of requests that lean one way.
+// Demand of one traffic class, in tokens per second.
 struct LeaningWork {
   double prefill = 0;
   double decode = 0;
@@ -126,65 +143,70 @@
   auto operator<=>(const LeaningWork&) const = default;
 };
 
-// How many times the forecast work a fleet could carry. `prompts` and
-// `answers` are the two leanings; `count` says how many endpoints of each role.
+// Capacity of a fleet divided by demand. `prompt_heavy` and `output_heavy` are
+// the demand of the two traffic classes, `count` the number of endpoints of
+// each role. Zero if no role in `count` has rates.
 double CarriedShare(const LeaningWork& prompts,
                     const LeaningWork& answers,
                     const std::map<EndpointRole, double>& count,
                     const RoleRatesTable& rates);
 
-// Plans one service.
+// Plans one service. Requests and answers are reported as they come; OnTick()
+// closes the samples. Proposes nothing until 20 samples have been taken.
 class Planner {
  public:
   Planner(ServiceId service,
           RoleRatesTable rates,
           const PlacementOptions& options = {});
 
-  // A request came in, with the tokens that its caller names.
+  // A request arrived, with the token counts stated by its caller.
   void OnRequest(int64_t prompt_tokens, int64_t output_tokens);
 
-  // A request was answered. What it really took, without what was found in a
-  // prefix cache, corrects what is expected of others that lean the same way.
+  // A request was answered. The tokens actually computed, without those found
+  // in a prefix cache, correct the estimates for later requests of the class.
   void OnAnswer(int64_t prompt_tokens,
                 int64_t output_tokens,
                 int64_t cached_tokens,
                 int64_t generated_tokens);
 
-  // Closes samples; call it often.
+  // Closes a sample whenever its interval has passed. To be called at least
+  // once per interval.
   void OnTick(Instant now);
 
-  // Role changes that pay, at most one for each data centre.
+  // Role changes whose gain exceeds their loss, at most one per data centre.
   std::vector<PlacementWish> RoleWishes(
       Instant now,
       const std::vector<EndpointState>& endpoints);
 
-  // At most one endpoint more or less for the service.
+  // A proposal to add or release one endpoint, or none. No data centre is taken
+  // below the floor, and endpoints are not added beyond the maximum.
   std::optional<CapacityWish> NextCapacityWish(
       Instant now,
       const std::vector<EndpointState>& endpoints,
       int64_t floor_per_data_centre,
       int64_t most);
 
-  // Whether the weight store may be asked for a model now; counts as asking.
+  // Rate limit for the weight store: returns whether a model may be loaded now,
+  // and if so, counts this load.
   bool MayLoadModel(Instant now);
 
-  // Capacity over the most work that is forecast or was seen lately.
+  // Capacity divided by the highest demand, forecast or recently measured.
   double Carried(const std::vector<EndpointState>& endpoints) const;
 
  private:
-  // Prompt and output tokens since the sample began, and their forecasts.
+  // Tokens since the start of the sample, and forecasts, of one traffic class.
   struct Leaning {
     double prompt_tokens = 0;
     double output_tokens = 0;
     double computed_share = 1;   // of prompt tokens; the rest is cached
-    double generated_share = 1;  // of the output tokens that callers name
+    double generated_share = 1;  // of the output tokens that callers state
     WorkForecast prefill;
     WorkForecast decode;
   };
 
   using Counts = std::map<EndpointRole, double>;
 
-  // Both leanings over one sample.
+  // Demand of both traffic classes over one sample.
   struct Mix {
     LeaningWork prompts;
     LeaningWork answers;
--- a/packages/decisions/prefix_cache.cc
+++ b/packages/decisions/prefix_cache.cc
@@ -5,8 +5,8 @@
 namespace hickorystand {
 namespace {
 
-// Engine memory is about four thousand pieces; twice that leaves room for
-// pieces whose removal wasn't heard of yet.
+// An engine holds about 4000 blocks. Twice that leaves room for blocks whose
+// removal has not been reported yet.
 constexpr size_t kMaxPieces = 8192;
 constexpr double kUnsureWorth = 0.5;
 
@@ -44,7 +44,7 @@
 
 void PrefixCache::Add(uint64_t piece) {
   if (this->pieces.size() >= kMaxPieces) {
-    // Which piece goes doesn't matter much; that memory stays bounded does.
+    // Evicts an arbitrary block to bound the memory.
     this->pieces.erase(this->pieces.begin());
     this->sure = false;
   }
--- a/packages/decisions/prefix_cache.h
+++ b/packages/decisions/prefix_cache.h
@@ -1,7 +1,7 @@
-// What this host believes an endpoint's prefix cache to hold.
+// This host's copy of the contents of an endpoint's prefix cache.
 //
-// Cache events come late and with gaps. After a gap the view is unsure until
-// the next snapshot, and what it finds counts half.
+// Cache events may arrive late or be lost. After a gap the copy is out of sync
+// until the next snapshot, and hits are weighted by one half.
 
 #pragma once
 
@@ -13,18 +13,21 @@
 
 namespace hickorystand {
 
-// One endpoint's cache, as far as known.
+// The estimated contents of one endpoint's prefix cache, as a set of block
+// hashes of bounded size.
 class PrefixCache {
  public:
-  // Takes an event; older ones than those already taken are dropped.
+  // Applies an event. Events older than the last one applied are ignored.
   void Apply(const CacheEvent& event);
 
-  // A prompt was sent to the endpoint, so that its prefixes will be there.
+  // Adds the prefixes of a prompt that was sent to the endpoint, which will be
+  // in its cache before the cache event arrives.
   void Expect(const std::vector<uint64_t>& prefix_hashes);
 
-  // The share of a prompt, 0 to 1, that need not be computed again.
+  // The expected share of a prompt that is cached, 0 to 1.
   double HitShare(const std::vector<uint64_t>& prefix_hashes) const;
 
+  // False after lost events, until the next snapshot.
   bool Sure() const { return this->sure; }
   size_t Size() const { return this->pieces.size(); }
 
