--- a/packages/decisions/router.cc
+++ b/packages/decisions/router.cc
@@ -8,7 +8,7 @@
 namespace hickorystand {
 namespace {
 
-// Until an endpoint's first report these stand in for what it can do.
+// Assumed until the first load report of an endpoint.
 constexpr double kDefaultPrefillRate = 4000;
 constexpr double kDefaultDecodeRate = 400;
 constexpr double kDefaultCapacity = 8;
@@ -41,7 +41,7 @@
          outcome == AttemptOutcome::kWrongAnswer;
 }
 
-// Drops what a rule speaks against, unless nothing would be left.
+// Erases the elements that match `against`, unless all of them match.
 void EraseUnlessAll(auto& scored, const auto& against) {
   if (!std::ranges::all_of(scored, against)) {
     std::erase_if(scored, against);
@@ -119,8 +119,9 @@
   }
 }
 
-// Moves on to an endpoint's next life. One that is over never comes back, so
-// that a late message about it can't revive or condemn the present one.
+// Resets the view for a new incarnation of the endpoint. The previous one is
+// remembered as retired, so that a delayed message about it cannot change the
+// state of the current one.
 void Router::Adopt(EndpointView& view, uint64_t incarnation) {
   if (view.incarnation == incarnation) {
     return;
@@ -231,8 +232,8 @@
   if (view.Leaving() || (once && view.endpoint.cheap)) {
     return false;
   }
-  // Coming back from an ejection, an endpoint gets one request at a time until
-  // it has answered one.
+  // After an ejection an endpoint gets one request at a time, until it has
+  // answered one.
   if (this->options.eject_outliers &&
       (view.Ejected(now) || (view.OnTrial() && view.probing))) {
     return false;
@@ -257,7 +258,7 @@
          view.WaitingSeconds() < longest;
 }
 
-// Falls back to 1 with time, so that an endpoint which was slow is tried again.
+// Decays to 1 over time, so that an endpoint that was slow is tried again.
 double Router::Slowness(Instant now, const EndpointView& view) const {
   const double age = ToSeconds(now - view.slowness_at);
   const double left = std::exp2(-age / kSlownessHalfLifeSeconds);
@@ -282,8 +283,9 @@
                           static_cast<double>(missed) / view.PrefillRate()) *
                              slowness +
                          over + (remote ? this->options.remote_seconds : 0);
-  // Work counts by how full the batch is: a nearly empty engine decodes for
-  // little, a nearly full one makes others wait.
+  // Work is weighted by the occupancy of the batch: decoding one more request
+  // costs little on a nearly empty engine, but delays others on a nearly full
+  // one.
   const double occupancy = view.Requests() / view.Capacity();
   const double work =
       static_cast<double>(missed) / view.PrefillRate() +
@@ -350,7 +352,7 @@
 }
 
 std::optional<Route> Router::Choose(Instant now, const RouteQuery& query) {
-  assert(query.request != nullptr && "a query needs its request");
+  assert(query.request != nullptr && "a query must have a request");
   const auto service = this->by_service.find(query.request->service);
   if (service == this->by_service.end()) {
     return {};
@@ -365,10 +367,11 @@
   std::erase_if(scored, [&](const Scored& one) {
     return !this->FitsOrHasSpare(now, one, query);
   });
-  // Each is a preference: where all have failed before, or none has proved
-  // itself, the request goes there all the same, over a new connection. Else a
-  // service with one endpoint would never be tried again, and one that gets
-  // nothing but non-idempotent requests would never leave its trial.
+  // The following filters are preferences. If all endpoints have failed before,
+  // or all are on probation, the request is still sent to one of them, over a
+  // new connection. Otherwise a service with a single endpoint would never be
+  // retried, and an endpoint that receives only non-idempotent requests would
+  // never leave probation.
   const bool once = query.request->request_class == RequestClass::kOnce;
   const bool elsewhere = this->HasOther(now, *query.request, query.avoid);
   std::erase_if(scored, [&](const Scored& one) {
@@ -383,18 +386,20 @@
   if (scored.empty()) {
     return {};
   }
-  // A suspect goes to the emptiest endpoint, so that the fewest others are hit.
+  // A suspected request goes to the endpoint with the fewest requests, so that
+  // a crash affects as few others as possible.
   std::ranges::sort(scored, {}, [&](const Scored& one) {
     return std::pair(query.suspect ? one.view->Requests() : 0, one.score);
   });
   const Scored& chosen =
       query.suspect ? scored.front() : this->PickAmongEquals(scored);
-  Route route{
-      .endpoint = chosen.view->endpoint.id,
-      .seconds = chosen.seconds,
-      .missed_tokens = chosen.missed,
-      .probe = chosen.view->ejections > 0 || chosen.view->down,
-      .reason = query.suspect ? "suspect, kept apart" : "least expected time"};
+  Route route{.endpoint = chosen.view->endpoint.id,
+              .seconds = chosen.seconds,
+              .missed_tokens = chosen.missed,
+              .probe = chosen.view->ejections > 0 || chosen.view->down,
+              .reason = query.suspect
+                            ? "suspected request, fewest requests there"
+                            : "least expected time"};
   for (const Scored& other : scored) {
     if (other.view != chosen.view && route.runners_up.size() < kRunnersUp) {
       route.runners_up.push_back({other.view->endpoint.id, other.seconds});
@@ -413,7 +418,6 @@
          });
 }
 
-// An endpoint that might take the request, now or as soon as it has room.
 bool Router::HasOther(Instant now,
                       const Request& request,
                       const std::set<EndpointId>& avoid) const {
@@ -457,12 +461,11 @@
                     const Route& route,
                     bool suspect) {
   EndpointView& view = this->views.at(endpoint);
-  // No new work for an endpoint that is known to be leaving: it would be cut
-  // off when the endpoint stops.
-  assert(!view.Leaving() && "an attempt at a leaving endpoint");
+  // A request on a leaving endpoint would be aborted when the endpoint stops.
+  assert(!view.Leaving() && "request sent to a leaving endpoint");
   assert(
       (request.request_class != RequestClass::kOnce || !view.endpoint.cheap) &&
-      "non-idempotent work on a cheap endpoint");
+      "non-idempotent request sent to a spot endpoint");
   view.own_requests += 1;
   view.own_prompt_tokens += route.missed_tokens;
   view.own_suspects += suspect ? 1 : 0;
@@ -477,15 +480,16 @@
                           double seconds) {
   EndpointView& view = this->View(endpoint);
   view.own_prompt_tokens -= missed_tokens;
-  assert(view.own_prompt_tokens >= 0 && "first token of an unknown attempt");
+  assert(view.own_prompt_tokens >= 0 &&
+         "first token reported for an unknown attempt");
   const double ratio =
       seconds / std::max(kShortestExpectedSeconds, expected_seconds);
   const double current = Slowness(now, view);
   view.slowness = std::clamp(current + kSlownessGain * (ratio - current), 1.0,
                              kMaxSlowness);
   view.slowness_at = now;
-  // A first token shows that it works again; a long answer needn't be waited
-  // for.
+  // The first token proves that the endpoint works again. Waiting for the end
+  // of a long answer would delay its return to service.
   view.ejections = 0;
   view.down = false;
   view.probing = false;
@@ -502,7 +506,7 @@
   view.own_prompt_tokens -= waiting_prompt_tokens;
   view.own_suspects -= suspect ? 1 : 0;
   assert(view.own_requests >= 0 && view.own_prompt_tokens >= 0 &&
-         view.own_suspects >= 0 && "an attempt ended twice");
+         view.own_suspects >= 0 && "OnEnded() was called twice for an attempt");
   view.probing = view.probing && !probe;
   if (outcome == AttemptOutcome::kComplete ||
       outcome == AttemptOutcome::kRejected) {
@@ -525,7 +529,7 @@
   }
 }
 
-// Each ejection in a row lasts twice as long, up to about a minute.
+// The duration doubles with each consecutive ejection, up to about a minute.
 void Router::Eject(Instant now, EndpointView& view, Duration base) {
   const int64_t doublings = std::min(view.ejections, kMaxEjectionDoublings);
   view.ejections += 1;
--- a/packages/decisions/router.h
+++ b/packages/decisions/router.h
@@ -1,23 +1,24 @@
 // Chooses the endpoint for one request.
 //
-// Each endpoint is scored by the expected time to the first token there: the
-// prompt tokens that wait before it, by a load estimate that holds what this
-// host and its peers have sent since the endpoint's lagging report, and the
-// part of the prompt that its prefix cache misses. On top comes the time that
-// the request keeps the endpoint busy, so that long answers go where decoding
-// is cheap. Among near-equals the choice is random, so that hosts which share
-// a stale view don't all send to the same endpoint.
+// Each endpoint is scored by the expected time to first token: the time to
+// prefill the prompt tokens queued there and the part of the prompt that is not
+// in its prefix cache. Load reports lag, so the queue is estimated from the
+// requests that this host and its peers have in flight. To this the score adds
+// the engine time that the request takes, so that long answers go where
+// decoding is cheap. Among endpoints with nearly equal scores the choice is
+// random, so that hosts with the same stale view do not all send to the same
+// endpoint.
 //
-// A request that would cost much less elsewhere fits an endpoint badly: a long
-// answer on an endpoint that leans to prompts, or a long prompt on one that
-// leans to answers. Such work gets only a part of the endpoint's places, so
-// that there is room for the work that fits when it comes, and none while such
-// work waits.
+// A request is a poor fit for an endpoint if it would take much less engine
+// time elsewhere: a long answer on a prefill endpoint, or a long prompt on a
+// decode endpoint. Poor fits may use only a part of an endpoint's batch, so
+// that there is room for requests that fit, and none of it while such requests
+// are queued.
 //
 // Index
-//   RouterOptions         switches and limits
-//   RouteQuery, Route     question and answer
-//   EndpointView          what is known of one endpoint
+//   RouterOptions        switches and limits
+//   RouteQuery, Route    input and result of Router::Choose()
+//   EndpointView         the state of one endpoint
 //   Router
 
 #pragma once
@@ -39,7 +40,7 @@
 
 namespace hickorystand {
 
-// How routing is set. The switches exist for benches and mutation tests.
+// Parameters of routing. The switches exist for benchmarks and mutation tests.
 struct RouterOptions {
   DataCentreId data_centre;
   uint64_t seed = 1;
@@ -47,81 +48,95 @@
   bool use_peer_digests = true;
   bool choose_among_equals = true;
   bool eject_outliers = true;
-  double near_equal_share = 0.15;  // scores this close are equal
+  // Scores within this share plus this time of the best count as equal.
+  double near_equal_share = 0.15;
   double near_equal_seconds = 0.02;
-  double remote_seconds = 0.05;      // what another data centre costs
-  double batch_occupancy = 0.85;     // batch work leaves the rest free
-  double max_prefill_seconds = 1.0;  // queued at an endpoint; then it is full
-  double fit = 1.4;  // times the least work anywhere that still fits
-  double misfit_occupancy = 0.7;  // of the places, for what doesn't fit
+  // Penalty for an endpoint in another data centre.
+  double remote_seconds = 0.05;
+  // Share of the engine's batch that requests of class kBatch may fill.
+  double batch_occupancy = 0.85;
+  // An endpoint with more queued prefill time than this is full.
+  double max_prefill_seconds = 1.0;
+  // A request fits where it takes at most this multiple of the least engine
+  // time. Others may fill only a share of the batch and of the prefill queue.
+  double fit = 1.4;
+  double misfit_occupancy = 0.7;
   double misfit_prefill_seconds = 0.3;
-  Duration wanted = std::chrono::seconds(10);  // nothing that doesn't fit
-  double overbook = 1.1;  // requests sent per place in the batch
+  // How long a full endpoint refuses poor fits after a fitting request needed
+  // it.
+  Duration wanted = std::chrono::seconds(10);
+  // Requests sent per slot of the engine's batch.
+  double overbook = 1.1;
 
   auto operator<=>(const RouterOptions&) const = default;
 };
 
-// A request that needs an endpoint.
+// A request to route, and the constraints on its endpoint.
 struct RouteQuery {
   const Request* request = nullptr;
-  bool suspect = false;          // keep apart from other suspects
-  bool ignore_room = false;      // it can't wait: take the best there is
-  double least_work = 0;         // from LeastWork(); 0: any fit will do
-  std::set<EndpointId> avoid;    // has failed there
-  std::set<ZoneId> avoid_zones;  // if there is a choice
+  bool suspect = false;          // run apart from other suspected requests
+  bool ignore_room = false;      // can't be queued: full endpoints qualify too
+  double least_work = 0;         // from LeastWork(); 0: don't check the fit
+  std::set<EndpointId> avoid;    // earlier attempts failed there
+  std::set<ZoneId> avoid_zones;  // avoided if there is a choice
 };
 
-// Where it should go.
+// The chosen endpoint.
 struct Route {
   EndpointId endpoint;
-  double seconds = 0;  // expected time to the first token
-  int64_t missed_tokens = 0;
-  bool probe = false;
+  double seconds = 0;         // expected time to the first token
+  int64_t missed_tokens = 0;  // prompt tokens not in the prefix cache
+  bool probe = false;         // first request after an ejection or a crash
   std::vector<Candidate> runners_up;
   std::string reason;
 
   bool operator==(const Route&) const = default;
 };
 
-// What one host knows of one endpoint.
+// The state of one endpoint as seen by this host: its configuration, its last
+// load report, and the requests in flight there.
 struct EndpointView {
   Endpoint endpoint;
   LoadReport report;
   bool reported = false;
   bool configured = false;
-  uint64_t incarnation = 0;    // 0: never heard of
-  std::set<uint64_t> retired;  // incarnations that are over
+  uint64_t incarnation = 0;    // 0: nothing received yet
+  std::set<uint64_t> retired;  // incarnations that have ended
   std::set<uint64_t> leaving;  // incarnations that are leaving
   PrefixCache cache;
   int64_t own_requests = 0;
-  int64_t own_prompt_tokens = 0;  // sent, first token not seen yet
+  int64_t own_prompt_tokens = 0;  // sent, before the first token
   int64_t own_suspects = 0;
   int64_t peer_requests = 0;
   int64_t peer_prompt_tokens = 0;
-  double hidden_requests = 0;  // running there, sent by nobody we hear of
-  double slowness = 1;         // measured over expected time, smoothed
+  double hidden_requests = 0;  // running, but not sent by this host or a peer
+  double slowness = 1;         // measured / expected time, smoothed
   Instant slowness_at{};
-  int64_t failures = 0;   // in a row
-  int64_t ejections = 0;  // in a row
+  int64_t failures = 0;   // consecutive
+  int64_t ejections = 0;  // consecutive
   Instant ejected_until{};
-  Instant wanted_until{};  // work that fits waits for room
-  bool down = false;       // crashed; only a probe may go there
-  bool probing = false;    // a probe is on its way
+  Instant wanted_until{};  // until then poor fits are not sent
+  bool down = false;       // crashed; only a probe may be sent
+  bool probing = false;    // a probe is in flight
 
-  // Leaving in its present life, or taken out of the configuration.
+  // Whether its current incarnation is leaving, or it has been removed from the
+  // configuration.
   bool Leaving() const;
   bool Ejected(Instant now) const { return now < this->ejected_until; }
-  // Hasn't answered anything since it was ejected.
+  // Whether it has not answered a request since it was last ejected.
   bool OnTrial() const { return this->ejections > 0 || this->down; }
   double PrefillRate() const;
   double DecodeRate() const;
   double Capacity() const;
+  // Estimated requests in flight, from all hosts.
   double Requests() const;
-  // To compute the prompts that wait there, were it to do nothing else.
+  // Time to prefill the queued prompts, if the engine did nothing else.
   double WaitingSeconds() const;
 };
 
-// All endpoints as one host sees them.
+// Tracks the endpoints of all services and chooses one for each request.
+// Reports and digests are passed in as they arrive; out-of-date ones are
+// ignored.
 class Router {
  public:
   explicit Router(const RouterOptions& options);
@@ -132,29 +147,32 @@
   void OnDigest(Instant now, const Digest& digest);
   void OnHostGone(const HostId& host);
 
-  // The best endpoint with room, or none. Draws random numbers.
+  // The best endpoint with room, or none. Uses the random generator.
   std::optional<Route> Choose(Instant now, const RouteQuery& query);
 
-  // The least time of an endpoint that the request takes anywhere.
-  // Endpoints that fit it but have no room are noted as wanted.
+  // The least engine time, in seconds, that the request takes on any endpoint.
+  // Endpoints that fit but have no room are reserved for fitting requests for a
+  // while.
   double LeastWork(Instant now, const Request& request);
 
-  // Whether any endpoint has room; cheap, to be asked before Choose().
+  // Whether any endpoint has room. A cheap check before Choose().
   bool HasRoomFor(Instant now, const ServiceId& service) const;
 
-  // Whether any endpoint serves this now or soon.
+  // Whether the service has any endpoint that is not leaving.
   bool HasEndpoint(const ServiceId& service) const;
 
-  // Whether an endpoint other than these may take a request, now or once it has
-  // room: none that leaves or that is ejected.
+  // Whether an endpoint outside `avoid` can take the request, now or once it
+  // has room. Leaving and ejected endpoints do not count.
   bool HasOther(Instant now,
                 const Request& request,
                 const std::set<EndpointId>& avoid) const;
 
-  // Least expected time to a first token, room or not; none: no endpoint.
+  // Least expected time to first token, full endpoints included. Empty if no
+  // endpoint is available.
   std::optional<double> BestSeconds(Instant now, const Request& request) const;
 
-  // Attempts of this host. Every OnSent() is followed by one OnEnded().
+  // Events of the attempts of this host. Every OnSent() is followed by one
+  // OnEnded().
   void OnSent(const EndpointId& endpoint,
               const Request& request,
               const Route& route,
@@ -172,7 +190,7 @@
                bool probe);
 
   const EndpointView* Find(const EndpointId& endpoint) const;
-  // Generated tokens weigh this many prompt tokens, by reported rates.
+  // Cost of a generated token in prompt tokens, from the reported rates.
   double DecodeWeight() const { return this->decode_weight; }
   void FillDigest(Digest& digest) const;
 
@@ -180,8 +198,8 @@
   struct Scored {
     const EndpointView* view;
     double seconds;  // to the first token
-    double work;     // time of the endpoint that it takes
-    double score;    // both, the work by how full the endpoint is
+    double work;     // engine time that the request takes
+    double score;    // seconds plus work weighted by occupancy
     int64_t missed;
   };
 
@@ -206,7 +224,7 @@
   RouterOptions options;
   std::mt19937_64 random;
   std::map<EndpointId, EndpointView> views;
-  // Into `views`, whose elements stay where they are.
+  // Pointers into `views`, which has stable references.
   std::map<ServiceId, std::vector<EndpointView*>> by_service;
   std::map<HostId, std::vector<EndpointOutstanding>> peers;
   double decode_weight = 4;
