--- a/packages/decisions/hickorystand_dispatcher.cc
+++ b/packages/decisions/hickorystand_dispatcher.cc
@@ -16,7 +16,7 @@
 constexpr Duration kLeastWorkAge = std::chrono::seconds(1);
 constexpr Duration kResumeWait = std::chrono::seconds(10);
 constexpr double kLookupGain = 0.05;
-constexpr double kHedgeAfter = 3;  // times the usual time
+constexpr double kHedgeAfter = 3;  // times the smoothed response time
 constexpr Duration kShortestHedge = std::chrono::milliseconds(30);
 constexpr Duration kExpiryHorizon = std::chrono::seconds(1);
 
@@ -52,7 +52,7 @@
 
 void HickorystandDispatcher::OnConfiguration(Instant,
                                              ConfigurationPtr configuration) {
-  assert(configuration != nullptr && "a configuration must be given");
+  assert(configuration != nullptr && "configuration must not be null");
   this->configuration = std::move(configuration);
   this->admission.OnConfiguration(*this->configuration);
   this->router.OnConfiguration(*this->configuration);
@@ -72,8 +72,8 @@
   if (!this->configuration->services.contains(request.service)) {
     return Error{ErrorKind::kUnknownModel, "no such service", {}};
   }
-  // A non-idempotent request that comes again is for its claim to refuse: "not
-  // run" would be untrue.
+  // A repeated non-idempotent request is refused by its claim instead: this
+  // error states that the request has not run, which would be wrong.
   if (request.request_class != RequestClass::kOnce &&
       this->suspects.IsCondemned(now, request.fingerprint)) {
     return Error{ErrorKind::kSuspectRequest,
@@ -108,7 +108,7 @@
 DispatchList HickorystandDispatcher::OnArrival(Instant now,
                                                const Request& request) {
   assert(!this->live.contains(request.id) &&
-         "request ids must be unique on a host");
+         "request id is already in use on this host");
   if (std::optional<Error> error = this->ReasonToRefuse(now, request)) {
     return {Dispatch{.kind = DispatchKind::kRefuse,
                      .request = request.id,
@@ -123,7 +123,7 @@
   live.expires = request.deadline;
   this->Enqueue(now, live, live.charged, false);
   DispatchList out;
-  // Behind others it has to wait for the next tick anyway.
+  // If others are queued before it, it waits for the next tick.
   if (this->admission.Size() == 1) {
     this->Pump(now, request.service, out);
   }
@@ -141,17 +141,18 @@
   }
 }
 
-// Batch work waits as long as it takes.
+// Batch requests have no time limit in the queue.
 bool HickorystandDispatcher::MayBeRefused(const Live& live) const {
   return live.request.request_class != RequestClass::kBatch;
 }
 
-// Its claim is spent, or its caller watches half an answer.
+// Whether the request must restart at once, even on a full endpoint: its claim
+// is already recorded, or its caller has received part of the answer.
 bool HickorystandDispatcher::CannotWait(const Live& live) const {
   return live.granted || live.delivered > 0;
 }
 
-// --- Starting ---------------------------------------------------------------
+// --- Starting queued requests -----------------------------------------------
 
 void HickorystandDispatcher::Pump(Instant now,
                                   const ServiceId& service,
@@ -214,10 +215,10 @@
                                   bool hedge,
                                   DispatchList& out) {
   if (live.request.request_class == RequestClass::kOnce) {
-    // A second send after a byte may have left would run a filing twice.
-    assert(live.granted && "a non-idempotent request needs its claim");
+    // Sending it again after any byte may have been sent could run it twice.
+    assert(live.granted && "non-idempotent request sent without a claim");
     assert(!live.may_have_run && live.attempts.empty() &&
-           "a non-idempotent request is sent once");
+           "non-idempotent request sent a second time");
   }
   const AttemptId id = this->next_attempt++;
   const bool suspect =
@@ -235,14 +236,15 @@
   if (live.request.request_class == RequestClass::kLookup && !hedge) {
     this->lookups.insert(live.request.id);
   }
-  out.push_back({.kind = DispatchKind::kSend,
-                 .request = live.request.id,
-                 .attempt = id,
-                 .endpoint = route.endpoint,
-                 .resume_from = live.delivered,
-                 .hedge = hedge,
-                 .runners_up = route.runners_up,
-                 .reason = hedge ? "hedged, the first is slow" : route.reason});
+  out.push_back(
+      {.kind = DispatchKind::kSend,
+       .request = live.request.id,
+       .attempt = id,
+       .endpoint = route.endpoint,
+       .resume_from = live.delivered,
+       .hedge = hedge,
+       .runners_up = route.runners_up,
+       .reason = hedge ? "hedge, the first attempt is slow" : route.reason});
 }
 
 DispatchList HickorystandDispatcher::OnClaim(Instant now,
@@ -255,7 +257,7 @@
   DispatchList out;
   Live& live = found->second;
   if (result == ClaimResult::kTaken) {
-    live.may_have_run = true;  // somebody else's copy of it
+    live.may_have_run = true;  // another copy of it
     this->Refuse(live, ErrorKind::kDuplicate, "this request was sent before",
                  out);
     return out;
@@ -306,7 +308,7 @@
                                         AttemptId attempt,
                                         AttemptOutcome outcome) {
   const auto found = this->attempts.find(attempt);
-  assert(found != this->attempts.end() && "an attempt ended twice");
+  assert(found != this->attempts.end() && "attempt has already ended");
   const Attempt& ended = found->second;
   this->router.OnEnded(now, ended.endpoint, outcome,
                        ended.first_token ? 0 : ended.route.missed_tokens,
@@ -332,8 +334,8 @@
   }
 }
 
-// All that this host runs on an endpoint as it crashes is one crash, though
-// the attempts report their ends one by one.
+// Records one crash for all attempts that this host has on the endpoint, since
+// their results arrive one by one.
 void HickorystandDispatcher::NoteCrash(Instant now, Attempt& attempt) {
   if (attempt.crash_counted) {
     return;
@@ -356,7 +358,7 @@
                            : 0;
 }
 
-// Replaces the cost that was guessed at arrival by what was really used.
+// Replaces the cost estimated on arrival by the cost actually used.
 void HickorystandDispatcher::Recharge(Live& live, double used) {
   if (live.started) {
     this->admission.Correct(live.request.account, used - live.charged);
@@ -434,9 +436,10 @@
     this->GiveUp(live, out);
     return;
   }
-  // With every endpoint ejected the request is answered at once, and its caller
-  // told when to come back. Half an answer waits, as it can't be had again.
-  // An endpoint that merely refused will have room in a moment.
+  // If every endpoint is ejected, the request is refused at once with a
+  // Retry-After. Not so if part of the answer was delivered, since the caller
+  // can't obtain the rest by a retry, or if the endpoint only refused the
+  // request, since it will have room shortly.
   const bool hopeless = live.delivered == 0 && !batch &&
                         outcome != AttemptOutcome::kRefused &&
                         !this->router.HasOther(now, live.request, {});
@@ -458,7 +461,8 @@
     this->Enqueue(now, live, 0, true);
     return;
   }
-  // Batch work must arrive, so it waits until the budget allows its retry.
+  // A batch request must complete, so it waits until the retry budget allows
+  // another attempt.
   live.state = State::kParked;
   this->parked.insert(live.request.id);
 }
@@ -471,11 +475,12 @@
   }
 }
 
-// --- Ends -------------------------------------------------------------------
+// --- Completion -------------------------------------------------------------
 
 void HickorystandDispatcher::Forget(const RequestId& request) {
   Live& live = this->live.at(request);
-  assert(live.attempts.empty() && "a request is forgotten while it runs");
+  assert(live.attempts.empty() &&
+         "request removed while it has attempts in flight");
   if (live.state == State::kQueued) {
     this->expiries.erase({live.expires, request});
     this->admission.Remove(request);
@@ -501,9 +506,9 @@
                                     ErrorKind kind,
                                     std::string message,
                                     DispatchList& out) {
-  // "Not run" must be true: the caller sends the request again on its word.
+  // Callers retry requests that are reported as not run.
   assert(!(AnswerFor(kind).not_run && live.may_have_run) &&
-         "a request that may have run is refused as not run");
+         "request that may have run is reported as not run");
   std::optional<Duration> later;
   if (AnswerFor(kind).retry) {
     later = this->admission.RetryAfter(live.request.service);
@@ -513,7 +518,7 @@
   this->Forget(request);
   out.push_back({.kind = DispatchKind::kRefuse,
                  .request = request,
-                 .reason = "given up",
+                 .reason = "refused after admission",
                  .error = Error{kind, std::move(message), later}});
 }
 
@@ -537,7 +542,7 @@
     return {};
   }
   Live& live = found->second;
-  // A filing that is on its way is let run: cancelling it would leave its
+  // A non-idempotent request in flight is not cancelled: that would leave its
   // outcome unknown, and the caller may look up its status later.
   const bool once = live.request.request_class == RequestClass::kOnce;
   if (once && !live.attempts.empty()) {
@@ -550,7 +555,7 @@
   return out;
 }
 
-// --- News and time ----------------------------------------------------------
+// --- Reports, digests and ticks ---------------------------------------------
 
 DispatchList HickorystandDispatcher::OnLoad(Instant now,
                                             const LoadReport& report) {
@@ -585,7 +590,7 @@
   for (auto next = this->expiries.begin();
        next != this->expiries.end() && next->first <= now + kExpiryHorizon;) {
     Live& live = this->live.at(next->second);
-    ++next;  // refusing erases the entry
+    ++next;  // before Refuse() erases the entry
     const bool fresh = live.delivered == 0;
     const double first =
         fresh && this->policy.admission.refuse_unmeetable
--- a/packages/decisions/hickorystand_dispatcher.h
+++ b/packages/decisions/hickorystand_dispatcher.h
@@ -1,12 +1,17 @@
-// The dispatcher plug-in `hickorystand`: admission, routing, retries and
-// suspects put together. See docs/POLICY.md for why each rule is there.
+// The dispatcher plug-in `hickorystand`. Combines the admission queue, the
+// router, the retry budget and the tracking of suspected requests. See
+// docs/POLICY.md for the reason of each rule.
 //
 // A request is in exactly one of these states:
 //
-//   kQueued    in the admission queue, at first or again after a failure
-//   kClaiming  non-idempotent, waits for its claim
-//   kRunning   has one attempt, or two while hedged
-//   kParked    batch work that waits until the retry budget allows another try
+//   kQueued    in the admission queue, on arrival or again after a failure
+//   kClaiming  non-idempotent; its claim is being recorded
+//   kRunning   has one attempt in flight, or two while hedged
+//   kParked    batch request that waits for the retry budget
+//
+// Index
+//   PolicyOptions            options of the components
+//   HickorystandDispatcher
 
 #pragma once
 
@@ -27,7 +32,8 @@
 
 namespace hickorystand {
 
-// How the parts are set. The switches exist for benches and mutation tests.
+// Options of the components. The switches exist for benchmarks and mutation
+// tests.
 struct PolicyOptions {
   AdmissionOptions admission;
   RouterOptions router;
@@ -67,7 +73,7 @@
   }
   int64_t Running() const override;
 
-  // The parts, for tests and for the pages that show the host's state.
+  // The components, for tests and status pages.
   const Admission& Queue() const { return this->admission; }
   const Router& Routes() const { return this->router; }
 
@@ -79,13 +85,13 @@
     State state = State::kQueued;
     std::vector<AttemptId> attempts;
     int64_t tries = 0;
-    int64_t delivered = 0;      // generated tokens the caller has
-    bool started = false;       // admission has counted its cost
-    double charged = 0;         // the cost that it counted
-    bool may_have_run = false;  // a byte of it may have left
-    bool granted = false;       // its claim
+    int64_t delivered = 0;      // generated tokens sent to the caller
+    bool started = false;       // admission has charged its cost
+    double charged = 0;         // the cost that was charged
+    bool may_have_run = false;  // some of it may have been sent
+    bool granted = false;       // its claim is recorded
     bool hedged = false;
-    Instant expires{};      // refused if it still waits then
+    Instant expires{};      // refused if still queued by then
     double least_work = 0;  // see Router::LeastWork()
     Instant least_work_at{};
     std::set<EndpointId> avoid;
@@ -102,12 +108,14 @@
     int64_t generated = 0;
     bool first_token = false;
     bool suspect = false;
-    bool crash_counted = false;  // its endpoint's crash is already known
+    bool crash_counted = false;  // the crash of its endpoint was recorded
   };
 
+  // The error to refuse a new request with, or none if it is admitted.
   std::optional<Error> ReasonToRefuse(Instant now, const Request& request);
 
   void Enqueue(Instant now, Live& live, double cost, bool again);
+  // Starts queued requests as long as there is room.
   void Pump(Instant now, const ServiceId& service, DispatchList& out);
   bool StartHead(Instant now, const Waiting& head, DispatchList& out);
   void Send(Instant now,
@@ -122,6 +130,7 @@
               ErrorKind kind,
               std::string message,
               DispatchList& out);
+  // Refuses a request after its last attempt failed.
   void GiveUp(Live& live, DispatchList& out);
   void Forget(const RequestId& request);
   void Failed(Instant now,
@@ -153,8 +162,8 @@
   std::set<std::pair<Instant, RequestId>> expiries;  // of queued requests
   std::set<RequestId> parked;
   std::set<RequestId> lookups;  // running, not hedged
-  std::map<HostId, std::pair<uint64_t, uint64_t>> digests;  // last taken
-  double lookup_seconds = 0.1;  // usual time to a lookup's answer
+  std::map<HostId, std::pair<uint64_t, uint64_t>> digests;  // last applied
+  double lookup_seconds = 0.1;  // smoothed response time of lookups
   AttemptId next_attempt = 1;
   bool draining = false;
 };
--- a/packages/decisions/round_robin_dispatcher.cc
+++ b/packages/decisions/round_robin_dispatcher.cc
@@ -1,8 +1,8 @@
-// The dispatcher plug-in `round-robin`: each request goes to the next endpoint
-// of its service in turn. It keeps every promise about requests (claims, no
-// repeat of what may have run, resumption, graceful shutdown), but weighs
-// neither load, caches nor fairness: a baseline for benches, and a policy that
-// an operator can fall back on.
+// The dispatcher plug-in `round-robin`: sends each request to the next endpoint
+// of its service in turn. It gives the same guarantees about requests as
+// `hickorystand` (claims, no repeat of a request that may have run, resumption,
+// graceful shutdown), but ignores load, prefix caches and fairness. It serves
+// as a baseline for benchmarks and as a fallback policy for operators.
 
 #include <algorithm>
 #include <cassert>
@@ -20,8 +20,9 @@
 constexpr int64_t kMaxTries = 3;
 constexpr Duration kRetryAfter = std::chrono::seconds(1);
 
-// What a request is told when its last try ended this way, and whether another
-// endpoint may run it after that, for a non-idempotent and another request.
+// For each outcome of an attempt: whether the request may be retried on another
+// endpoint, and the error returned if it was the last attempt. The `_once`
+// columns apply to non-idempotent requests.
 struct ResultRow {
   AttemptOutcome outcome;
   bool again_once;
@@ -77,7 +78,7 @@
     Request request;
     State state = State::kQueued;
     AttemptId attempt = 0;  // of kRunning
-    EndpointId endpoint;    // ditto
+    EndpointId endpoint;    // of kRunning
     int64_t tries = 0;
     int64_t delivered = 0;
     std::set<EndpointId> tried;
@@ -98,7 +99,7 @@
   std::map<RequestId, Live> live;
   std::map<AttemptId, RequestId> attempts;
   std::set<EndpointId> leaving;
-  std::map<ServiceId, EndpointId> last;  // chosen last, per service
+  std::map<ServiceId, EndpointId> last;  // chosen last
   AttemptId next_attempt = 1;
   bool draining = false;
 };
@@ -121,7 +122,7 @@
                             kRetryAfter}}};
   }
   const auto [where, fresh] = this->live.emplace(request.id, Live{request});
-  assert(fresh && "a request arrives once");
+  assert(fresh && "request id is already in use");
   if (request.request_class == RequestClass::kOnce) {
     where->second.state = State::kClaiming;
     return {{.kind = DispatchKind::kClaim,
@@ -138,7 +139,8 @@
   if (found == this->live.end()) {
     return {};
   }
-  assert(found->second.state == State::kClaiming && "a claim is answered once");
+  assert(found->second.state == State::kClaiming &&
+         "the request has no claim in progress");
   switch (result) {
     case ClaimResult::kGranted:
       found->second.state = State::kQueued;
@@ -194,8 +196,8 @@
     return {};
   }
   Live& gone = found->second;
-  // A non-idempotent request that runs is left to run: cancelling it would
-  // leave open what became of it.
+  // A non-idempotent request in flight is not cancelled: that would leave its
+  // outcome unknown.
   if (gone.state == State::kRunning &&
       gone.request.request_class == RequestClass::kOnce) {
     gone.caller_gone = true;
@@ -286,11 +288,12 @@
          (anywhere || endpoint.data_centre == this->options.data_centre) &&
          !this->leaving.contains(endpoint.id) &&
          !live.tried.contains(endpoint.id) &&
-         // A cheap endpoint can vanish while it runs the request.
+         // A spot endpoint can be withdrawn while it runs the request.
          !(endpoint.cheap && live.request.request_class == RequestClass::kOnce);
 }
 
-// The next endpoint in turn; of this data centre, if it has any.
+// The next endpoint in turn. Endpoints of other data centres are used only if
+// this one has none.
 std::optional<EndpointId> RoundRobinDispatcher::Choose(const Live& live) {
   const EndpointId previous = this->last[live.request.service];
   for (const bool anywhere : {false, true}) {
@@ -309,13 +312,13 @@
 }
 
 DispatchList RoundRobinDispatcher::TryToSend(Live& live) {
-  assert(live.state == State::kQueued && "only what waits can be sent");
+  assert(live.state == State::kQueued && "only queued requests can be sent");
   assert((live.request.request_class != RequestClass::kOnce ||
           !live.may_have_run) &&
-         "a non-idempotent request that may have run is never sent again");
+         "non-idempotent request that may have run is sent again");
   std::optional<EndpointId> choice = this->Choose(live);
   if (!choice && !live.tried.empty()) {
-    // All have been tried. One that failed may be well again.
+    // All have been tried. One that failed may have recovered.
     live.tried.clear();
     choice = this->Choose(live);
   }
@@ -333,7 +336,7 @@
            .attempt = live.attempt,
            .endpoint = *choice,
            .resume_from = live.delivered,
-           .reason = live.tries > 1 ? "next in turn, again" : "next in turn"}};
+           .reason = live.tries > 1 ? "next in turn, retry" : "next in turn"}};
 }
 
 DispatchList RoundRobinDispatcher::Refuse(const RequestId& id,
