--- a/packages/decisions/admission.cc
+++ b/packages/decisions/admission.cc
@@ -50,35 +50,36 @@
 void Admission::Enqueue(Instant now,
                         const Request& request,
                         double cost,
-                        bool again) {
+                        bool requeued) {
   assert(!this->index.contains(request.id) && "request is already queued");
   Counted& account = this->accounts[request.account];
   if (account.waiting == 0) {
     account.counter = this->Lifted(account);
   }
   const bool batch = request.request_class == RequestClass::kBatch;
-  const Duration age =
+  const Duration max_wait =
       FromSeconds(ToSeconds(request.deadline - request.arrived) *
                   this->options.batch_age_share);
-  const Instant aged =
+  const Instant batch_due =
       this->options.age_batch
-          ? request.arrived + std::min(age, this->options.longest_batch_age)
+          ? request.arrived +
+                std::min(max_wait, this->options.longest_batch_age)
           : Instant::max();
   Waiting waiting{.request = request.id,
                   .account = request.account,
                   .service = request.service,
                   .request_class = request.request_class,
                   .cost = cost,
-                  .due = batch ? aged : request.deadline,
+                  .due = batch ? batch_due : request.deadline,
                   .order = this->next_order++};
-  if (again) {
+  if (requeued) {
     waiting.due = now;
   } else if (!this->options.fair) {
     waiting.due = request.arrived;
   }
-  Lines& lines = this->pools[request.service].lines[request.account];
-  (batch ? lines.batch : lines.urgent).insert(waiting);
-  (batch ? lines.batch_cost : lines.urgent_cost) += cost;
+  Lines& queues = this->pools[request.service].queues[request.account];
+  (batch ? queues.batch : queues.urgent).insert(waiting);
+  (batch ? queues.batch_cost : queues.urgent_cost) += cost;
   account.waiting += 1;
   this->index.emplace(request.id, waiting);
 }
@@ -91,15 +92,15 @@
   const Waiting waiting = found->second;
   this->index.erase(found);
   Pool& pool = this->pools.at(waiting.service);
-  Lines& lines = pool.lines.at(waiting.account);
+  Lines& queues = pool.queues.at(waiting.account);
   const bool batch = IsBatch(waiting);
   [[maybe_unused]] const size_t erased =
-      (batch ? lines.batch : lines.urgent).erase(waiting);
+      (batch ? queues.batch : queues.urgent).erase(waiting);
   assert(erased == 1 && "index and account queue are inconsistent");
-  (batch ? lines.batch_cost : lines.urgent_cost) -= waiting.cost;
+  (batch ? queues.batch_cost : queues.urgent_cost) -= waiting.cost;
   this->accounts.at(waiting.account).waiting -= 1;
-  if (lines.Empty()) {
-    pool.lines.erase(waiting.account);
+  if (queues.Empty()) {
+    pool.queues.erase(waiting.account);
   }
   return true;
 }
@@ -107,14 +108,14 @@
 // Batch requests that are due are merged by due time; all others go after the
 // urgent requests.
 std::vector<const Waiting*> Admission::FirstOf(Instant now,
-                                               const Lines& lines,
+                                               const Lines& queues,
                                                size_t count) const {
   std::vector<const Waiting*> first;
-  auto urgent = lines.urgent.begin();
-  auto batch = lines.batch.begin();
+  auto urgent = queues.urgent.begin();
+  auto batch = queues.batch.begin();
   while (first.size() < count) {
-    const bool has_batch = batch != lines.batch.end();
-    const bool has_urgent = urgent != lines.urgent.end();
+    const bool has_batch = batch != queues.batch.end();
+    const bool has_urgent = urgent != queues.urgent.end();
     if (!has_batch && !has_urgent) {
       break;
     }
@@ -147,13 +148,13 @@
     const Waiting* waiting;
   };
   std::vector<Ranked> ranked;
-  const bool contended = pool->second.lines.size() > 1;
-  for (const auto& [id, lines] : pool->second.lines) {
+  const bool contended = pool->second.queues.size() > 1;
+  for (const auto& [id, queues] : pool->second.queues) {
     const Counted& account = this->accounts.at(id);
     if (contended && this->AtLimit(account)) {
       continue;
     }
-    for (const Waiting* waiting : this->FirstOf(now, lines, per_account)) {
+    for (const Waiting* waiting : this->FirstOf(now, queues, per_account)) {
       const bool yields = IsBatch(*waiting) && waiting->due > now;
       const double counter = this->options.fair
                                  ? account.counter
@@ -167,7 +168,7 @@
   });
   std::vector<Waiting> heads;
   std::ranges::transform(ranked, std::back_inserter(heads),
-                         [](const Ranked& one) { return *one.waiting; });
+                         [](const Ranked& entry) { return *entry.waiting; });
   return heads;
 }
 
@@ -208,7 +209,7 @@
   if (this->peers.size() >= kPeers && !this->peers.contains(digest.host)) {
     return;
   }
-  const bool fresh = !this->peers.contains(digest.host);
+  const bool first_digest = !this->peers.contains(digest.host);
   Peer& peer = this->peers[digest.host];
   const bool restarted = peer.incarnation != digest.incarnation;
   if (!restarted && digest.sequence <= peer.sequence) {
@@ -221,9 +222,10 @@
     }
     AccountServed& last = peer.served[served.account];
     // Work that a peer served before its first digest is not charged.
-    const int64_t before = fresh ? served.cost : (restarted ? 0 : last.cost);
-    const auto grown = static_cast<double>(served.cost - before);
-    counted->second.counter += grown / counted->second.weight;
+    const int64_t previous =
+        first_digest ? served.cost : (restarted ? 0 : last.cost);
+    const auto increase = static_cast<double>(served.cost - previous);
+    counted->second.counter += increase / counted->second.weight;
     last = served;
   }
   peer.incarnation = digest.incarnation;
@@ -237,29 +239,30 @@
 double Admission::ExpectedWaitSeconds(const Request& request,
                                       double cost) const {
   const auto pool = this->pools.find(request.service);
-  if (pool == this->pools.end() || pool->second.lines.empty() ||
+  if (pool == this->pools.end() || pool->second.queues.empty() ||
       pool->second.drain <= 0) {
     return 0;
   }
   // The request starts when its account's counter has reached `start`. Until
   // then each other account is served up to the same counter value.
   const auto counted = this->accounts.find(request.account);
-  const Counted fresh;
+  const Counted new_account;
   const Counted& account =
-      counted == this->accounts.end() ? fresh : counted->second;
-  const auto& lines = pool->second.lines;
-  const auto own = lines.find(request.account);
-  const double queued = own == lines.end() ? 0 : own->second.urgent_cost;
-  const double lifted =
+      counted == this->accounts.end() ? new_account : counted->second;
+  const auto& queues = pool->second.queues;
+  const auto own = queues.find(request.account);
+  const double queued = own == queues.end() ? 0 : own->second.urgent_cost;
+  const double counter =
       account.waiting > 0 ? account.counter : this->Lifted(account);
-  const double start = lifted + queued / account.weight;
+  const double start = counter + queued / account.weight;
   double ahead = queued + cost;
-  for (const auto& [id, line] : lines) {
+  for (const auto& [id, queue] : queues) {
     if (id != request.account) {
       const Counted& other = this->accounts.at(id);
-      const double first = (start - other.counter) * other.weight;
-      ahead += this->options.fair ? std::clamp(first, 0.0, line.urgent_cost)
-                                  : line.urgent_cost;
+      const double cost_before = (start - other.counter) * other.weight;
+      ahead += this->options.fair
+                   ? std::clamp(cost_before, 0.0, queue.urgent_cost)
+                   : queue.urgent_cost;
     }
   }
   return ahead / pool->second.drain;
@@ -270,8 +273,8 @@
   const auto pool = this->pools.find(service);
   if (pool != this->pools.end() && pool->second.drain > 0) {
     double total = 0;
-    for (const auto& [id, line] : pool->second.lines) {
-      total += line.urgent_cost + line.batch_cost;
+    for (const auto& [id, queue] : pool->second.queues) {
+      total += queue.urgent_cost + queue.batch_cost;
     }
     seconds = std::max(seconds, total / pool->second.drain);
   }
@@ -283,14 +286,14 @@
 bool Admission::Meetable(Instant now,
                          const Request& request,
                          double seconds) const {
-  const double left = ToSeconds(request.deadline - now);
-  return left > 0 && seconds <= left * this->options.wait_share;
+  const double remaining = ToSeconds(request.deadline - now);
+  return remaining > 0 && seconds <= remaining * this->options.wait_share;
 }
 
 std::vector<ServiceId> Admission::Services() const {
   std::vector<ServiceId> services;
   for (const auto& [id, pool] : this->pools) {
-    if (!pool.lines.empty()) {
+    if (!pool.queues.empty()) {
       services.push_back(id);
     }
   }
--- a/packages/decisions/admission.h
+++ b/packages/decisions/admission.h
@@ -74,7 +74,7 @@
 
   // Adds a request to the queue. `requeued`: it was started before; it becomes
   // due immediately.
-  void Enqueue(Instant now, const Request& request, double cost, bool again);
+  void Enqueue(Instant now, const Request& request, double cost, bool requeued);
 
   // Removes a request. Returns false if it isn't queued.
   bool Remove(const RequestId& request);
@@ -141,7 +141,7 @@
     int64_t in_flight = 0;
   };
   struct Pool {
-    std::map<AccountId, Lines> lines;
+    std::map<AccountId, Lines> queues;
     double drain = 0;      // cost per second, smoothed
     Instant drained_at{};  // start of the measuring window
     double drained = 0;    // cost started since drained_at
--- a/packages/decisions/hickorystand_dispatcher.cc
+++ b/packages/decisions/hickorystand_dispatcher.cc
@@ -63,11 +63,12 @@
 std::optional<Error> HickorystandDispatcher::ReasonToRefuse(
     Instant now,
     const Request& request) {
-  const auto later = [&] {
+  const auto retry_after = [&] {
     return this->admission.RetryAfter(request.service);
   };
   if (this->draining) {
-    return Error{ErrorKind::kShuttingDown, "this host is leaving", later()};
+    return Error{ErrorKind::kShuttingDown, "this host is leaving",
+                 retry_after()};
   }
   if (!this->configuration->services.contains(request.service)) {
     return Error{ErrorKind::kUnknownModel, "no such service", {}};
@@ -81,14 +82,14 @@
                  {}};
   }
   if (this->admission.Size() >= this->options.max_queued) {
-    return Error{ErrorKind::kOverloaded, "the queue is full", later()};
+    return Error{ErrorKind::kOverloaded, "the queue is full", retry_after()};
   }
   if (request.request_class == RequestClass::kBatch) {
     return {};
   }
   if (!this->router.HasEndpoint(request.service)) {
     return Error{ErrorKind::kNoEndpoint, "no endpoint serves this now",
-                 later()};
+                 retry_after()};
   }
   if (!this->policy.admission.refuse_unmeetable) {
     return {};
@@ -96,11 +97,14 @@
   const double cost =
       static_cast<double>(request.prompt_tokens) +
       this->router.DecodeWeight() * static_cast<double>(request.output_tokens);
-  const double first = this->router.BestSeconds(now, request).value_or(0);
-  const double wait = this->admission.ExpectedWaitSeconds(request, cost);
-  if (!this->admission.Meetable(now, request, wait + first)) {
+  const double first_token_seconds =
+      this->router.BestSeconds(now, request).value_or(0);
+  const double queue_seconds =
+      this->admission.ExpectedWaitSeconds(request, cost);
+  if (!this->admission.Meetable(now, request,
+                                queue_seconds + first_token_seconds)) {
     return Error{ErrorKind::kDeadlineUnmeetable,
-                 "the answer would come after its deadline", later()};
+                 "the answer would come after its deadline", retry_after()};
   }
   return {};
 }
@@ -115,13 +119,13 @@
                      .reason = "refused on arrival",
                      .error = std::move(error)}};
   }
-  Live& live = this->live[request.id];
-  live.request = request;
-  live.charged =
+  Live& active = this->live[request.id];
+  active.request = request;
+  active.charged =
       static_cast<double>(request.prompt_tokens) +
       this->router.DecodeWeight() * static_cast<double>(request.output_tokens);
-  live.expires = request.deadline;
-  this->Enqueue(now, live, live.charged, false);
+  active.expires = request.deadline;
+  this->Enqueue(now, active, active.charged, false);
   DispatchList out;
   // If others are queued before it, it waits for the next tick.
   if (this->admission.Size() == 1) {
@@ -131,25 +135,25 @@
 }
 
 void HickorystandDispatcher::Enqueue(Instant now,
-                                     Live& live,
+                                     Live& active,
                                      double cost,
-                                     bool again) {
-  live.state = State::kQueued;
-  this->admission.Enqueue(now, live.request, cost, again);
-  if (this->MayBeRefused(live)) {
-    this->expiries.emplace(live.expires, live.request.id);
+                                     bool requeued) {
+  active.state = State::kQueued;
+  this->admission.Enqueue(now, active.request, cost, requeued);
+  if (this->MayBeRefused(active)) {
+    this->expiries.emplace(active.expires, active.request.id);
   }
 }
 
 // Batch requests have no time limit in the queue.
-bool HickorystandDispatcher::MayBeRefused(const Live& live) const {
-  return live.request.request_class != RequestClass::kBatch;
+bool HickorystandDispatcher::MayBeRefused(const Live& active) const {
+  return active.request.request_class != RequestClass::kBatch;
 }
 
 // Whether the request must restart at once, even on a full endpoint: its claim
 // is already recorded, or its caller has received part of the answer.
-bool HickorystandDispatcher::CannotWait(const Live& live) const {
-  return live.granted || live.delivered > 0;
+bool HickorystandDispatcher::CannotWait(const Live& active) const {
+  return active.granted || active.delivered > 0;
 }
 
 // --- Starting queued requests -----------------------------------------------
@@ -166,82 +170,83 @@
   }
 }
 
-RouteQuery HickorystandDispatcher::QueryFor(Instant now, Live& live) {
-  if (live.least_work == 0 || now - live.least_work_at > kLeastWorkAge) {
-    live.least_work = this->router.LeastWork(now, live.request);
-    live.least_work_at = now;
+RouteQuery HickorystandDispatcher::QueryFor(Instant now, Live& active) {
+  if (active.least_work == 0 || now - active.least_work_at > kLeastWorkAge) {
+    active.least_work = this->router.LeastWork(now, active.request);
+    active.least_work_at = now;
   }
   const bool suspect =
       this->policy.separate_suspects &&
-      this->suspects.IsSuspected(now, live.request.fingerprint);
-  return {.request = &live.request,
+      this->suspects.IsSuspected(now, active.request.fingerprint);
+  return {.request = &active.request,
           .suspect = suspect,
-          .ignore_room = this->CannotWait(live),
-          .least_work = live.least_work,
-          .avoid = live.avoid,
-          .avoid_zones = live.avoid_zones};
+          .ignore_room = this->CannotWait(active),
+          .least_work = active.least_work,
+          .avoid = active.avoid,
+          .avoid_zones = active.avoid_zones};
 }
 
 bool HickorystandDispatcher::StartHead(Instant now,
                                        const Waiting& head,
                                        DispatchList& out) {
-  Live& live = this->live.at(head.request);
-  if (!this->CannotWait(live) && !this->router.HasRoomFor(now, head.service)) {
+  Live& active = this->live.at(head.request);
+  if (!this->CannotWait(active) &&
+      !this->router.HasRoomFor(now, head.service)) {
     return false;
   }
   const std::optional<Route> route =
-      this->router.Choose(now, this->QueryFor(now, live));
+      this->router.Choose(now, this->QueryFor(now, active));
   if (!route) {
     return false;
   }
-  this->expiries.erase({live.expires, head.request});
+  this->expiries.erase({active.expires, head.request});
   this->admission.Start(now, head.request);
-  live.started = true;
-  const bool once = live.request.request_class == RequestClass::kOnce;
-  if (once && !live.granted) {
-    live.state = State::kClaiming;
+  active.started = true;
+  const bool once = active.request.request_class == RequestClass::kOnce;
+  if (once && !active.granted) {
+    active.state = State::kClaiming;
     out.push_back({.kind = DispatchKind::kClaim,
                    .request = head.request,
                    .reason = "claim before the only send"});
     return true;
   }
-  this->Send(now, live, *route, false, out);
+  this->Send(now, active, *route, false, out);
   return true;
 }
 
 void HickorystandDispatcher::Send(Instant now,
-                                  Live& live,
+                                  Live& active,
                                   const Route& route,
                                   bool hedge,
                                   DispatchList& out) {
-  if (live.request.request_class == RequestClass::kOnce) {
+  if (active.request.request_class == RequestClass::kOnce) {
     // Sending it again after any byte may have been sent could run it twice.
-    assert(live.granted && "non-idempotent request sent without a claim");
-    assert(!live.may_have_run && live.attempts.empty() &&
+    assert(active.granted && "non-idempotent request sent without a claim");
+    assert(!active.may_have_run && active.attempts.empty() &&
            "non-idempotent request sent a second time");
   }
   const AttemptId id = this->next_attempt++;
   const bool suspect =
-      this->suspects.IsSuspected(now, live.request.fingerprint);
-  this->router.OnSent(route.endpoint, live.request, route, suspect);
-  this->attempts.emplace(id, Attempt{.request = live.request.id,
+      this->suspects.IsSuspected(now, active.request.fingerprint);
+  this->router.OnSent(route.endpoint, active.request, route, suspect);
+  this->attempts.emplace(id, Attempt{.request = active.request.id,
                                      .endpoint = route.endpoint,
                                      .route = route,
                                      .sent = now,
-                                     .resume_from = live.delivered,
+                                     .resume_from = active.delivered,
                                      .suspect = suspect});
-  live.state = State::kRunning;
-  live.attempts.push_back(id);
-  live.tries += 1;
-  if (live.request.request_class == RequestClass::kLookup && !hedge) {
-    this->lookups.insert(live.request.id);
+  active.state = State::kRunning;
+  active.attempts.push_back(id);
+  active.tries += 1;
+  if (active.request.request_class == RequestClass::kLookup && !hedge) {
+    this->lookups.insert(active.request.id);
   }
   out.push_back(
       {.kind = DispatchKind::kSend,
-       .request = live.request.id,
+       .request = active.request.id,
        .attempt = id,
        .endpoint = route.endpoint,
-       .resume_from = live.delivered,
+       .resume_from = active.delivered,
        .hedge = hedge,
        .runners_up = route.runners_up,
        .reason = hedge ? "hedge, the first attempt is slow" : route.reason});
@@ -255,25 +260,26 @@
     return {};
   }
   DispatchList out;
-  Live& live = found->second;
+  Live& active = found->second;
   if (result == ClaimResult::kTaken) {
-    live.may_have_run = true;  // another copy of it
-    this->Refuse(live, ErrorKind::kDuplicate, "this request was sent before",
+    active.may_have_run = true;  // another copy of it
+    this->Refuse(active, ErrorKind::kDuplicate, "this request was sent before",
                  out);
     return out;
   }
   if (result != ClaimResult::kGranted) {
-    this->Refuse(live, ErrorKind::kClaimUnavailable,
+    this->Refuse(active, ErrorKind::kClaimUnavailable,
                  "the claim can't be recorded now", out);
     return out;
   }
-  live.granted = true;
-  if (const auto route = this->router.Choose(now, this->QueryFor(now, live))) {
-    this->Send(now, live, *route, false, out);
+  active.granted = true;
+  if (const auto route =
+          this->router.Choose(now, this->QueryFor(now, active))) {
+    this->Send(now, active, *route, false, out);
     return out;
   }
-  this->admission.Ended(live.request.account);
-  this->Enqueue(now, live, 0, true);
+  this->admission.Ended(active.request.account);
+  this->Enqueue(now, active, 0, true);
   return out;
 }
 
@@ -287,11 +293,11 @@
     return {};
   }
   Attempt& running = found->second;
-  Live& live = this->live.at(running.request);
-  live.may_have_run = true;
+  Live& active = this->live.at(running.request);
+  active.may_have_run = true;
   running.generated += generated_tokens;
-  live.delivered =
-      std::max(live.delivered, running.resume_from + running.generated);
+  active.delivered =
+      std::max(active.delivered, running.resume_from + running.generated);
   DispatchList out;
   if (!running.first_token) {
     running.first_token = true;
@@ -299,7 +305,7 @@
         now, running.endpoint, running.route.missed_tokens,
         running.route.seconds, ToSeconds(now - running.sent));
     this->lookups.erase(running.request);
-    this->CancelOthers(now, live, attempt, out);
+    this->CancelOthers(now, active, attempt, out);
   }
   return out;
 }
@@ -313,20 +319,20 @@
   this->router.OnEnded(now, ended.endpoint, outcome,
                        ended.first_token ? 0 : ended.route.missed_tokens,
                        ended.suspect, ended.route.probe);
-  Live& live = this->live.at(ended.request);
-  std::erase(live.attempts, attempt);
+  Live& active = this->live.at(ended.request);
+  std::erase(active.attempts, attempt);
   this->attempts.erase(found);
 }
 
 void HickorystandDispatcher::CancelOthers(Instant now,
-                                          Live& live,
+                                          Live& active,
                                           AttemptId keep,
                                           DispatchList& out) {
-  const std::vector<AttemptId> all = live.attempts;
+  const std::vector<AttemptId> all = active.attempts;
   for (const AttemptId other : all) {
     if (other != keep) {
       out.push_back({.kind = DispatchKind::kCancel,
-                     .request = live.request.id,
+                     .request = active.request.id,
                      .attempt = other,
                      .reason = "another attempt answered"});
       this->EndAttempt(now, other, AttemptOutcome::kCancelled);
@@ -351,18 +357,19 @@
   this->suspects.OnCrash(now, view->endpoint.zone, fingerprints);
 }
 
-double HickorystandDispatcher::UsedCost(const Live& live) const {
-  return live.may_have_run ? static_cast<double>(live.request.prompt_tokens) +
-                                 this->router.DecodeWeight() *
-                                     static_cast<double>(live.delivered)
-                           : 0;
+double HickorystandDispatcher::UsedCost(const Live& active) const {
+  return active.may_have_run
+             ? static_cast<double>(active.request.prompt_tokens) +
+                   this->router.DecodeWeight() *
+                       static_cast<double>(active.delivered)
+             : 0;
 }
 
 // Replaces the cost estimated on arrival by the cost actually used.
-void HickorystandDispatcher::Recharge(Live& live, double used) {
-  if (live.started) {
-    this->admission.Correct(live.request.account, used - live.charged);
-    live.charged = used;
+void HickorystandDispatcher::Recharge(Live& active, double used) {
+  if (active.started) {
+    this->admission.Correct(active.request.account, used - active.charged);
+    active.charged = used;
   }
 }
 
@@ -376,35 +383,35 @@
     this->NoteCrash(now, found->second);
   }
   const Attempt attempt = found->second;
-  Live& live = this->live.at(attempt.request);
-  const ServiceId service = live.request.service;
-  live.delivered =
-      std::max(live.delivered, attempt.resume_from + result.generated_tokens);
-  live.may_have_run = live.may_have_run || !SurelyNotRun(result.outcome);
+  Live& active = this->live.at(attempt.request);
+  const ServiceId service = active.request.service;
+  active.delivered =
+      std::max(active.delivered, attempt.resume_from + result.generated_tokens);
+  active.may_have_run = active.may_have_run || !SurelyNotRun(result.outcome);
   this->EndAttempt(now, result.attempt, result.outcome);
   DispatchList out;
   switch (result.outcome) {
     case AttemptOutcome::kComplete:
       this->retries.OnSuccess();
-      this->suspects.OnAnswered(live.request.fingerprint);
-      if (live.request.request_class == RequestClass::kLookup) {
+      this->suspects.OnAnswered(active.request.fingerprint);
+      if (active.request.request_class == RequestClass::kLookup) {
         this->lookup_seconds += kLookupGain * (ToSeconds(now - attempt.sent) -
                                                this->lookup_seconds);
       }
       [[fallthrough]];
     case AttemptOutcome::kRejected:
-      this->CancelOthers(now, live, result.attempt, out);
-      this->Recharge(live, this->UsedCost(live) -
-                               static_cast<double>(result.cached_tokens));
-      this->Finish(live, "answered", out);
+      this->CancelOthers(now, active, result.attempt, out);
+      this->Recharge(active, this->UsedCost(active) -
+                                 static_cast<double>(result.cached_tokens));
+      this->Finish(active, "answered", out);
       break;
     case AttemptOutcome::kCancelled:
-      this->CancelOthers(now, live, result.attempt, out);
-      this->Finish(live, "cancelled", out);
+      this->CancelOthers(now, active, result.attempt, out);
+      this->Finish(active, "cancelled", out);
       break;
     default:
-      if (live.attempts.empty()) {
-        this->Failed(now, live, attempt, result.outcome, out);
+      if (active.attempts.empty()) {
+        this->Failed(now, active, attempt, result.outcome, out);
         this->Pump(now, service, out);
       }
   }
@@ -412,59 +419,61 @@
 }
 
 void HickorystandDispatcher::Failed(Instant now,
-                                    Live& live,
+                                    Live& active,
                                     const Attempt& attempt,
                                     AttemptOutcome outcome,
                                     DispatchList& out) {
-  live.last = outcome;
-  this->lookups.erase(live.request.id);
-  const RequestClass request_class = live.request.request_class;
-  if (request_class == RequestClass::kOnce && live.may_have_run) {
-    this->Refuse(live, ErrorKind::kOutcomeUnknown,
+  active.last = outcome;
+  this->lookups.erase(active.request.id);
+  const RequestClass request_class = active.request.request_class;
+  if (request_class == RequestClass::kOnce && active.may_have_run) {
+    this->Refuse(active, ErrorKind::kOutcomeUnknown,
                  "the request may have run; look up its status", out);
     return;
   }
-  const auto service = this->configuration->services.find(live.request.service);
+  const auto service =
+      this->configuration->services.find(active.request.service);
   const bool resumable = service != this->configuration->services.end() &&
                          service->second.kind == ServiceKind::kLanguage;
-  const bool too_late = live.delivered == 0 && now >= live.request.deadline &&
+  const bool too_late = active.delivered == 0 &&
+                        now >= active.request.deadline &&
                         request_class != RequestClass::kBatch;
   const bool batch = request_class == RequestClass::kBatch;
-  if (live.tries >= (batch ? kMaxBatchTries : kMaxTries) || too_late ||
-      (live.delivered > 0 && !resumable) ||
-      this->suspects.IsCondemned(now, live.request.fingerprint)) {
-    this->GiveUp(live, out);
+  if (active.tries >= (batch ? kMaxBatchTries : kMaxTries) || too_late ||
+      (active.delivered > 0 && !resumable) ||
+      this->suspects.IsCondemned(now, active.request.fingerprint)) {
+    this->GiveUp(active, out);
     return;
   }
   // If every endpoint is ejected, the request is refused at once with a
   // Retry-After. Not so if part of the answer was delivered, since the caller
   // can't obtain the rest by a retry, or if the endpoint only refused the
   // request, since it will have room shortly.
-  const bool hopeless = live.delivered == 0 && !batch &&
-                        outcome != AttemptOutcome::kRefused &&
-                        !this->router.HasOther(now, live.request, {});
-  const bool paid = !hopeless && this->retries.Take(now);
-  if (!paid && !batch) {
-    this->GiveUp(live, out);
+  const bool no_alternative = active.delivered == 0 && !batch &&
+                              outcome != AttemptOutcome::kRefused &&
+                              !this->router.HasOther(now, active.request, {});
+  const bool has_budget = !no_alternative && this->retries.Take(now);
+  if (!has_budget && !batch) {
+    this->GiveUp(active, out);
     return;
   }
-  live.avoid.insert(attempt.endpoint);
+  active.avoid.insert(attempt.endpoint);
   if (const EndpointView* view = this->router.Find(attempt.endpoint);
       view != nullptr && outcome == AttemptOutcome::kCrashed) {
-    live.avoid_zones.insert(view->endpoint.zone);
+    active.avoid_zones.insert(view->endpoint.zone);
   }
-  if (live.delivered > 0) {
-    live.expires = now + kResumeWait;
+  if (active.delivered > 0) {
+    active.expires = now + kResumeWait;
   }
-  this->admission.Ended(live.request.account);
-  if (paid) {
-    this->Enqueue(now, live, 0, true);
+  this->admission.Ended(active.request.account);
+  if (has_budget) {
+    this->Enqueue(now, active, 0, true);
     return;
   }
   // A batch request must complete, so it waits until the retry budget allows
   // another attempt.
-  live.state = State::kParked;
-  this->parked.insert(live.request.id);
+  active.state = State::kParked;
+  this->parked.insert(active.request.id);
 }
 
 void HickorystandDispatcher::RetryParked(Instant now) {
@@ -478,59 +487,59 @@
 // --- Completion -------------------------------------------------------------
 
 void HickorystandDispatcher::Forget(const RequestId& request) {
-  Live& live = this->live.at(request);
-  assert(live.attempts.empty() &&
+  Live& active = this->live.at(request);
+  assert(active.attempts.empty() &&
          "request removed while it has attempts in flight");
-  if (live.state == State::kQueued) {
-    this->expiries.erase({live.expires, request});
+  if (active.state == State::kQueued) {
+    this->expiries.erase({active.expires, request});
     this->admission.Remove(request);
-  } else if (live.state != State::kParked) {
-    this->admission.Ended(live.request.account);
+  } else if (active.state != State::kParked) {
+    this->admission.Ended(active.request.account);
   }
   this->parked.erase(request);
   this->lookups.erase(request);
   this->live.erase(request);
 }
 
-void HickorystandDispatcher::Finish(Live& live,
+void HickorystandDispatcher::Finish(Live& active,
                                     std::string reason,
                                     DispatchList& out) {
-  const RequestId request = live.request.id;
+  const RequestId request = active.request.id;
   this->Forget(request);
   out.push_back({.kind = DispatchKind::kFinish,
                  .request = request,
                  .reason = std::move(reason)});
 }
 
-void HickorystandDispatcher::Refuse(Live& live,
+void HickorystandDispatcher::Refuse(Live& active,
                                     ErrorKind kind,
                                     std::string message,
                                     DispatchList& out) {
   // Callers retry requests that are reported as not run.
-  assert(!(AnswerFor(kind).not_run && live.may_have_run) &&
+  assert(!(AnswerFor(kind).not_run && active.may_have_run) &&
          "request that may have run is reported as not run");
-  std::optional<Duration> later;
+  std::optional<Duration> retry_after;
   if (AnswerFor(kind).retry) {
-    later = this->admission.RetryAfter(live.request.service);
+    retry_after = this->admission.RetryAfter(active.request.service);
   }
-  this->Recharge(live, this->UsedCost(live));
-  const RequestId request = live.request.id;
+  this->Recharge(active, this->UsedCost(active));
+  const RequestId request = active.request.id;
   this->Forget(request);
   out.push_back({.kind = DispatchKind::kRefuse,
                  .request = request,
                  .reason = "refused after admission",
-                 .error = Error{kind, std::move(message), later}});
+                 .error = Error{kind, std::move(message), retry_after}});
 }
 
-void HickorystandDispatcher::GiveUp(Live& live, DispatchList& out) {
-  if (!live.may_have_run) {
-    this->Refuse(live, ErrorKind::kNoEndpoint, "no endpoint took the request",
+void HickorystandDispatcher::GiveUp(Live& active, DispatchList& out) {
+  if (!active.may_have_run) {
+    this->Refuse(active, ErrorKind::kNoEndpoint, "no endpoint took the request",
                  out);
-  } else if (live.delivered > 0) {
-    this->Refuse(live, ErrorKind::kBrokenAnswer,
+  } else if (active.delivered > 0) {
+    this->Refuse(active, ErrorKind::kBrokenAnswer,
                  "the answer broke and can't be resumed", out);
   } else {
-    this->Refuse(live, KindOf(live.last),
+    this->Refuse(active, KindOf(active.last),
                  "the endpoints that ran the request failed", out);
   }
 }
@@ -541,16 +550,16 @@
   if (found == this->live.end()) {
     return {};
   }
-  Live& live = found->second;
+  Live& active = found->second;
   // A non-idempotent request in flight is not cancelled: that would leave its
   // outcome unknown, and the caller may look up its status later.
-  const bool once = live.request.request_class == RequestClass::kOnce;
-  if (once && !live.attempts.empty()) {
+  const bool once = active.request.request_class == RequestClass::kOnce;
+  if (once && !active.attempts.empty()) {
     return {};
   }
   DispatchList out;
-  this->CancelOthers(now, live, 0, out);
-  this->Recharge(live, this->UsedCost(live));
+  this->CancelOthers(now, active, 0, out);
+  this->Recharge(active, this->UsedCost(active));
   this->Forget(request);
   return out;
 }
@@ -570,11 +579,11 @@
 DispatchList HickorystandDispatcher::OnDigest(Instant now,
                                               const Digest& digest) {
   auto& last = this->digests[digest.host];
-  const std::pair seen(digest.incarnation, digest.sequence);
-  if (digest.host == this->options.host || seen <= last) {
+  const std::pair position(digest.incarnation, digest.sequence);
+  if (digest.host == this->options.host || position <= last) {
     return {};
   }
-  last = seen;
+  last = position;
   this->router.OnDigest(now, digest);
   this->admission.OnDigest(digest);
   this->suspects.OnPeer(now, digest.host, digest.suspicions);
@@ -589,20 +598,20 @@
 void HickorystandDispatcher::RefuseExpired(Instant now, DispatchList& out) {
   for (auto next = this->expiries.begin();
        next != this->expiries.end() && next->first <= now + kExpiryHorizon;) {
-    Live& live = this->live.at(next->second);
+    Live& active = this->live.at(next->second);
     ++next;  // before Refuse() erases the entry
-    const bool fresh = live.delivered == 0;
-    const double first =
+    const bool fresh = active.delivered == 0;
+    const double first_token_seconds =
         fresh && this->policy.admission.refuse_unmeetable
-            ? this->router.BestSeconds(now, live.request).value_or(0)
+            ? this->router.BestSeconds(now, active.request).value_or(0)
             : 0;
-    if (now + FromSeconds(first) < live.expires) {
+    if (now + FromSeconds(first_token_seconds) < active.expires) {
       continue;
     }
-    if (live.may_have_run) {
-      this->GiveUp(live, out);
+    if (active.may_have_run) {
+      this->GiveUp(active, out);
     } else {
-      this->Refuse(live, ErrorKind::kDeadlineUnmeetable,
+      this->Refuse(active, ErrorKind::kDeadlineUnmeetable,
                    "no endpoint had room in time", out);
     }
   }
@@ -612,23 +621,23 @@
   if (!this->policy.hedge_lookups) {
     return;
   }
-  const Duration patience =
+  const Duration hedge_delay =
       std::max(kShortestHedge, FromSeconds(this->lookup_seconds * kHedgeAfter));
   const std::vector<RequestId> running(this->lookups.begin(),
                                        this->lookups.end());
   for (const RequestId& request : running) {
-    Live& live = this->live.at(request);
-    const Attempt& first = this->attempts.at(live.attempts.front());
-    if (live.hedged || now - first.sent < patience) {
+    Live& active = this->live.at(request);
+    const Attempt& first = this->attempts.at(active.attempts.front());
+    if (active.hedged || now - first.sent < hedge_delay) {
       continue;
     }
-    RouteQuery query = this->QueryFor(now, live);
+    RouteQuery query = this->QueryFor(now, active);
     query.avoid.insert(first.endpoint);
     const std::optional<Route> route = this->router.Choose(now, query);
     if (route && !query.suspect && this->retries.Take(now)) {
-      live.hedged = true;
+      active.hedged = true;
       this->lookups.erase(request);
-      this->Send(now, live, *route, true, out);
+      this->Send(now, active, *route, true, out);
     }
   }
 }
--- a/packages/decisions/hickorystand_dispatcher.h
+++ b/packages/decisions/hickorystand_dispatcher.h
@@ -114,40 +114,43 @@
   // The error to refuse a new request with, or none if it is admitted.
   std::optional<Error> ReasonToRefuse(Instant now, const Request& request);
 
-  void Enqueue(Instant now, Live& live, double cost, bool again);
+  void Enqueue(Instant now, Live& active, double cost, bool requeued);
   // Starts queued requests as long as there is room.
   void Pump(Instant now, const ServiceId& service, DispatchList& out);
   bool StartHead(Instant now, const Waiting& head, DispatchList& out);
   void Send(Instant now,
-            Live& live,
+            Live& active,
             const Route& route,
             bool hedge,
             DispatchList& out);
-  RouteQuery QueryFor(Instant now, Live& live);
+  RouteQuery QueryFor(Instant now, Live& active);
 
-  void Finish(Live& live, std::string reason, DispatchList& out);
-  void Refuse(Live& live,
+  void Finish(Live& active, std::string reason, DispatchList& out);
+  void Refuse(Live& active,
               ErrorKind kind,
               std::string message,
               DispatchList& out);
   // Refuses a request after its last attempt failed.
-  void GiveUp(Live& live, DispatchList& out);
+  void GiveUp(Live& active, DispatchList& out);
   void Forget(const RequestId& request);
   void Failed(Instant now,
-              Live& live,
+              Live& active,
               const Attempt& attempt,
               AttemptOutcome outcome,
               DispatchList& out);
-  void CancelOthers(Instant now, Live& live, AttemptId keep, DispatchList& out);
+  void CancelOthers(Instant now,
+                    Live& active,
+                    AttemptId keep,
+                    DispatchList& out);
   void EndAttempt(Instant now, AttemptId attempt, AttemptOutcome outcome);
   void NoteCrash(Instant now, Attempt& attempt);
-  double UsedCost(const Live& live) const;
-  void Recharge(Live& live, double used);
+  double UsedCost(const Live& active) const;
+  void Recharge(Live& active, double used);
 
   void RefuseExpired(Instant now, DispatchList& out);
   void HedgeLookups(Instant now, DispatchList& out);
-  bool MayBeRefused(const Live& live) const;
-  bool CannotWait(const Live& live) const;
+  bool MayBeRefused(const Live& active) const;
+  bool CannotWait(const Live& active) const;
   void RetryParked(Instant now);
 
   DispatcherOptions options;
--- a/packages/decisions/placement.cc
+++ b/packages/decisions/placement.cc
@@ -72,8 +72,8 @@
 // output-heavy work. In the optimal division prompt-heavy work is assigned from
 // the front of that order and output-heavy work from its end. The split point
 // is where both classes reach the same ratio.
-double CarriedShare(const LeaningWork& prompts,
-                    const LeaningWork& answers,
+double CarriedShare(const LeaningWork& prompt_heavy,
+                    const LeaningWork& output_heavy,
                     const std::map<EndpointRole, double>& count,
                     const RoleRatesTable& rates) {
   struct Group {
@@ -83,8 +83,8 @@
   for (const auto& [role, number] : count) {
     const auto known = rates.find(role);
     if (known != rates.end() && number > 0) {
-      groups.push_back(
-          {number, Load(prompts, known->second), Load(answers, known->second)});
+      groups.push_back({number, Load(prompt_heavy, known->second),
+                        Load(output_heavy, known->second)});
     }
   }
   constexpr double kNothing = 1e-9;
@@ -95,10 +95,10 @@
     }
     return std::min(share, kPlenty);
   };
-  if (groups.empty() || Load(prompts, {1, 1}) < kNothing) {
+  if (groups.empty() || Load(prompt_heavy, {1, 1}) < kNothing) {
     return groups.empty() ? 0 : all(&Group::answers);
   }
-  if (Load(answers, {1, 1}) < kNothing) {
+  if (Load(output_heavy, {1, 1}) < kNothing) {
     return all(&Group::prompts);
   }
   std::ranges::sort(groups, {}, [](const Group& group) {
@@ -145,33 +145,34 @@
     const auto found = this->rates.find(role);
     return found == this->rates.end() ? 0 : Load(work, found->second);
   };
-  const bool leans_to_prompt =
+  const bool is_prompt_heavy =
       load(EndpointRole::kPrefill) < load(EndpointRole::kDecode);
-  return leans_to_prompt ? this->prompts : this->answers;
+  return is_prompt_heavy ? this->prompts : this->answers;
 }
 
 void Planner::OnRequest(int64_t prompt_tokens, int64_t output_tokens) {
-  Leaning& leaning = this->LeaningOf(prompt_tokens, output_tokens);
-  leaning.prompt_tokens +=
-      static_cast<double>(prompt_tokens) * leaning.computed_share;
-  leaning.output_tokens +=
-      static_cast<double>(output_tokens) * leaning.generated_share;
+  Leaning& traffic_class = this->LeaningOf(prompt_tokens, output_tokens);
+  traffic_class.prompt_tokens +=
+      static_cast<double>(prompt_tokens) * traffic_class.computed_share;
+  traffic_class.output_tokens +=
+      static_cast<double>(output_tokens) * traffic_class.generated_share;
 }
 
 void Planner::OnAnswer(int64_t prompt_tokens,
                        int64_t output_tokens,
                        int64_t cached_tokens,
                        int64_t generated_tokens) {
-  Leaning& leaning = this->LeaningOf(prompt_tokens, output_tokens);
+  Leaning& traffic_class = this->LeaningOf(prompt_tokens, output_tokens);
   const auto correct = [](double& share, int64_t part, int64_t whole) {
     if (whole > 0) {
-      const double seen =
+      const double measured =
           static_cast<double>(part) / static_cast<double>(whole);
-      share += kShareGain * (std::clamp(seen, 0.0, 1.0) - share);
+      share += kShareGain * (std::clamp(measured, 0.0, 1.0) - share);
     }
   };
-  correct(leaning.computed_share, prompt_tokens - cached_tokens, prompt_tokens);
-  correct(leaning.generated_share, generated_tokens, output_tokens);
+  correct(traffic_class.computed_share, prompt_tokens - cached_tokens,
+          prompt_tokens);
+  correct(traffic_class.generated_share, generated_tokens, output_tokens);
 }
 
 void Planner::OnTick(Instant now) {
@@ -180,13 +181,13 @@
     return;
   }
   const double seconds = ToSeconds(elapsed);
-  const auto close = [seconds](Leaning& leaning) {
-    const LeaningWork work{leaning.prompt_tokens / seconds,
-                           leaning.output_tokens / seconds};
-    leaning.prefill.Add(work.prefill);
-    leaning.decode.Add(work.decode);
-    leaning.prompt_tokens = 0;
-    leaning.output_tokens = 0;
+  const auto close = [seconds](Leaning& traffic_class) {
+    const LeaningWork work{traffic_class.prompt_tokens / seconds,
+                           traffic_class.output_tokens / seconds};
+    traffic_class.prefill.Add(work.prefill);
+    traffic_class.decode.Add(work.decode);
+    traffic_class.prompt_tokens = 0;
+    traffic_class.output_tokens = 0;
     return work;
   };
   this->history.push_front({close(this->prompts), close(this->answers)});
@@ -194,10 +195,11 @@
   this->sample_began = now;
 }
 
-LeaningWork Planner::Forecast(const Leaning& leaning) const {
+LeaningWork Planner::Forecast(const Leaning& traffic_class) const {
   const double ahead =
       ToSeconds(this->options.horizon) / ToSeconds(this->options.sample);
-  return {leaning.prefill.After(ahead), leaning.decode.After(ahead)};
+  return {traffic_class.prefill.After(ahead),
+          traffic_class.decode.After(ahead)};
 }
 
 Planner::Mix Planner::ForecastMix() const {
@@ -220,8 +222,9 @@
     weights += weight;
     weight *= std::exp2(-1 / this->options.half_life);
   }
-  const double coming = this->options.forecast_share;
-  return coming * carried(this->ForecastMix()) + (1 - coming) * sum / weights;
+  const double forecast_weight = this->options.forecast_share;
+  return forecast_weight * carried(this->ForecastMix()) +
+         (1 - forecast_weight) * sum / weights;
 }
 
 double Planner::Carried(const std::vector<EndpointState>& endpoints) const {
@@ -240,9 +243,9 @@
     const std::vector<EndpointState>& endpoints,
     const DataCentreId& data_centre) const {
   const Counts counts = CountRoles(endpoints);
-  const double worth = this->Worth(counts);
-  const double change = ToSeconds(this->options.change);
-  const double dwell = ToSeconds(this->options.dwell);
+  const double rating = this->Worth(counts);
+  const double change_seconds = ToSeconds(this->options.change);
+  const double dwell_seconds = ToSeconds(this->options.dwell);
   double best_gain = 0;
   std::optional<std::pair<EndpointRole, EndpointRole>> best;
   for (const auto& [from, number] : counts) {
@@ -254,11 +257,12 @@
       during[from] -= 1;
       Counts after = during;
       after[to] += 1;
-      const double won = (this->Worth(after) - worth) * dwell;
-      const double lost =
-          (worth - this->Worth(during)) * change * this->options.hysteresis;
+      const double benefit = (this->Worth(after) - rating) * dwell_seconds;
+      const double required = (rating - this->Worth(during)) * change_seconds *
+                              this->options.hysteresis;
       const double gain =
-          won - std::max(lost, this->options.least_gain * dwell);
+          benefit -
+          std::max(required, this->options.least_gain * dwell_seconds);
       if (gain > best_gain) {
         best_gain = gain;
         best = {from, to};
@@ -300,30 +304,30 @@
       busy.insert(state.endpoint.data_centre);
     }
   }
-  std::vector<PlacementWish> wishes;
+  std::vector<PlacementWish> proposals;
   std::vector<EndpointState> planned = endpoints;
   for (const DataCentreId& data_centre : data_centres) {
     if (busy.contains(data_centre)) {
       continue;
     }
-    const auto wish = this->BestChange(planned, data_centre);
-    if (!wish) {
+    const auto proposal = this->BestChange(planned, data_centre);
+    if (!proposal) {
       continue;
     }
     // The next data centre plans on the basis of this change, so that the data
     // centres do not overshoot together.
     for (EndpointState& state : planned) {
-      if (state.endpoint.id == wish->endpoint) {
+      if (state.endpoint.id == proposal->endpoint) {
         const auto* role =
-            std::ranges::find(kLanguageRoles, wish->argument, &NameOfRole);
+            std::ranges::find(kLanguageRoles, proposal->argument, &NameOfRole);
         state.role = *role;
         state.changing = true;
       }
     }
     this->last_change[data_centre] = now;
-    wishes.push_back(*wish);
+    proposals.push_back(*proposal);
   }
-  return wishes;
+  return proposals;
 }
 
 // Whether the loss of the spot endpoints of any single zone would leave each
@@ -339,18 +343,18 @@
     all[state.endpoint.data_centre] += 1;
   }
   return std::ranges::all_of(zones, [&](const ZoneId& zone) {
-    std::vector<EndpointState> left = endpoints;
-    std::erase_if(left, [&](const EndpointState& state) {
+    std::vector<EndpointState> remaining = endpoints;
+    std::erase_if(remaining, [&](const EndpointState& state) {
       return state.endpoint.cheap && state.endpoint.zone == zone;
     });
     std::map<DataCentreId, int64_t> counts;
-    for (const EndpointState& state : left) {
+    for (const EndpointState& state : remaining) {
       counts[state.endpoint.data_centre] += 1;
     }
     const bool floors = std::ranges::all_of(all, [&](const auto& entry) {
       return counts[entry.first] >= std::min(floor, entry.second);
     });
-    return floors && this->Carried(left) >= this->options.zone_loss_share;
+    return floors && this->Carried(remaining) >= this->options.zone_loss_share;
   });
 }
 
@@ -367,10 +371,10 @@
         counts[state.endpoint.data_centre] <= floor) {
       continue;
     }
-    std::vector<EndpointState> left = endpoints;
-    std::erase(left, state);
-    if (this->Carried(left) < this->options.surplus ||
-        !this->SurvivesZones(left, floor)) {
+    std::vector<EndpointState> remaining = endpoints;
+    std::erase(remaining, state);
+    if (this->Carried(remaining) < this->options.surplus ||
+        !this->SurvivesZones(remaining, floor)) {
       continue;
     }
     const auto rank = [](const EndpointState& one) {
@@ -395,8 +399,8 @@
 std::optional<CapacityWish> Planner::NextCapacityWish(
     Instant now,
     const std::vector<EndpointState>& endpoints,
-    int64_t floor_per_data_centre,
-    int64_t most) {
+    int64_t min_per_data_centre,
+    int64_t max_endpoints) {
   if (this->history.size() < kSamplesBeforePlans) {
     return {};
   }
@@ -413,7 +417,7 @@
       since(this->short_since, carried < this->options.headroom);
   const bool in_surplus =
       since(this->surplus_since, carried > this->options.surplus);
-  if (is_short && static_cast<int64_t>(endpoints.size()) < most) {
+  if (is_short && static_cast<int64_t>(endpoints.size()) < max_endpoints) {
     // Add where there are fewest endpoints; a spot one if the loss of any zone
     // can still be absorbed.
     std::map<DataCentreId, int64_t> counts;
@@ -428,12 +432,12 @@
     return CapacityWish{
         .service = this->service,
         .data_centre = fewest->first,
-        .cheap = this->SurvivesZones(endpoints, floor_per_data_centre),
+        .cheap = this->SurvivesZones(endpoints, min_per_data_centre),
         .change = 1,
         .reason = "forecast work exceeds what is carried"};
   }
   if (in_surplus) {
-    return this->GiveBack(endpoints, floor_per_data_centre);
+    return this->GiveBack(endpoints, min_per_data_centre);
   }
   return {};
 }
--- a/packages/decisions/placement.h
+++ b/packages/decisions/placement.h
@@ -146,8 +146,8 @@
 // Capacity of a fleet divided by demand. `prompt_heavy` and `output_heavy` are
 // the demand of the two traffic classes, `count` the number of endpoints of
 // each role. Zero if no role in `count` has rates.
-double CarriedShare(const LeaningWork& prompts,
-                    const LeaningWork& answers,
+double CarriedShare(const LeaningWork& prompt_heavy,
+                    const LeaningWork& output_heavy,
                     const std::map<EndpointRole, double>& count,
                     const RoleRatesTable& rates);
 
@@ -183,8 +183,8 @@
   std::optional<CapacityWish> NextCapacityWish(
       Instant now,
       const std::vector<EndpointState>& endpoints,
-      int64_t floor_per_data_centre,
-      int64_t most);
+      int64_t min_per_data_centre,
+      int64_t max_endpoints);
 
   // Rate limit for the weight store: returns whether a model may be loaded now,
   // and if so, counts this load.
@@ -214,7 +214,7 @@
 
   Leaning& LeaningOf(int64_t prompt_tokens, int64_t output_tokens);
   Mix ForecastMix() const;
-  LeaningWork Forecast(const Leaning& leaning) const;
+  LeaningWork Forecast(const Leaning& traffic_class) const;
   double Worth(const Counts& counts) const;
   std::optional<PlacementWish> BestChange(
       const std::vector<EndpointState>& endpoints,
--- a/packages/decisions/request.h
+++ b/packages/decisions/request.h
@@ -41,7 +41,7 @@
   uint64_t fingerprint = 0;  // hash of account, service and body
   Instant arrived{};
   Instant
-      deadline{};  // for the first byte; for the whole answer of kNonIdempotent
+      deadline{};  // for the first byte; for the whole answer of kAtMostOnce
 
   bool operator==(const Request&) const = default;
 };
--- a/packages/decisions/round_robin_dispatcher.cc
+++ b/packages/decisions/round_robin_dispatcher.cc
@@ -89,7 +89,7 @@
   std::optional<EndpointId> Choose(const Live& live);
   bool Usable(const Live& live, const Endpoint& endpoint, bool anywhere) const;
   DispatchList TryToSend(Live& live);
-  DispatchList Refuse(const RequestId& id, ErrorKind kind, std::string why);
+  DispatchList Refuse(const RequestId& id, ErrorKind kind, std::string reason);
   DispatchList Forget(const RequestId& id, Dispatch last);
   Live* FindAttempt(AttemptId attempt);
   int64_t CountIn(State state) const;
@@ -121,15 +121,15 @@
              .error = Error{K::kOverloaded, "Too many requests are waiting.",
                             kRetryAfter}}};
   }
-  const auto [where, fresh] = this->live.emplace(request.id, Live{request});
-  assert(fresh && "request id is already in use");
+  const auto [entry, inserted] = this->live.emplace(request.id, Live{request});
+  assert(inserted && "request id is already in use");
   if (request.request_class == RequestClass::kOnce) {
-    where->second.state = State::kClaiming;
+    entry->second.state = State::kClaiming;
     return {{.kind = DispatchKind::kClaim,
              .request = request.id,
              .reason = "non-idempotent"}};
   }
-  return this->TryToSend(where->second);
+  return this->TryToSend(entry->second);
 }
 
 DispatchList RoundRobinDispatcher::OnClaim(Instant,
@@ -195,22 +195,22 @@
   if (found == this->live.end()) {
     return {};
   }
-  Live& gone = found->second;
+  Live& request = found->second;
   // A non-idempotent request in flight is not cancelled: that would leave its
   // outcome unknown.
-  if (gone.state == State::kRunning &&
-      gone.request.request_class == RequestClass::kOnce) {
-    gone.caller_gone = true;
+  if (request.state == State::kRunning &&
+      request.request.request_class == RequestClass::kOnce) {
+    request.caller_gone = true;
     return {};
   }
   DispatchList actions;
-  if (gone.state == State::kRunning) {
+  if (request.state == State::kRunning) {
     actions.push_back({.kind = DispatchKind::kCancel,
                        .request = id,
-                       .attempt = gone.attempt,
-                       .endpoint = gone.endpoint,
+                       .attempt = request.attempt,
+                       .endpoint = request.endpoint,
                        .reason = "caller gone"});
-    this->attempts.erase(gone.attempt);
+    this->attempts.erase(request.attempt);
   }
   this->live.erase(found);
   return actions;
@@ -226,9 +226,9 @@
 }
 
 DispatchList RoundRobinDispatcher::OnDigest(Instant, const Digest& digest) {
-  for (const EndpointNews& news : digest.endpoints) {
-    if (news.leaving || news.down) {
-      this->leaving.insert(news.endpoint);
+  for (const EndpointNews& state : digest.endpoints) {
+    if (state.leaving || state.down) {
+      this->leaving.insert(state.endpoint);
     }
   }
   return {};
@@ -341,14 +341,14 @@
 
 DispatchList RoundRobinDispatcher::Refuse(const RequestId& id,
                                           ErrorKind kind,
-                                          std::string why) {
-  Error error{kind, "The request could not be served: " + why + "."};
+                                          std::string reason) {
+  Error error{kind, "The request could not be served: " + reason + "."};
   if (AnswerFor(kind).retry) {
     error.retry_after = kRetryAfter;
   }
   return this->Forget(id, {.kind = DispatchKind::kRefuse,
                            .request = id,
-                           .reason = std::move(why),
+                           .reason = std::move(reason),
                            .error = std::move(error)});
 }
 
--- a/packages/decisions/router.cc
+++ b/packages/decisions/router.cc
@@ -42,9 +42,9 @@
 }
 
 // Erases the elements that match `against`, unless all of them match.
-void EraseUnlessAll(auto& scored, const auto& against) {
-  if (!std::ranges::all_of(scored, against)) {
-    std::erase_if(scored, against);
+void EraseUnlessAll(auto& scored, const auto& matches) {
+  if (!std::ranges::all_of(scored, matches)) {
+    std::erase_if(scored, matches);
   }
 }
 
@@ -196,18 +196,18 @@
     outstanding = digest.outstanding;
     this->CountPeer(outstanding, 1);
   }
-  for (const EndpointNews& news : digest.endpoints) {
-    const auto found = this->views.find(news.endpoint);
+  for (const EndpointNews& state : digest.endpoints) {
+    const auto found = this->views.find(state.endpoint);
     if (found == this->views.end() ||
-        found->second.retired.contains(news.incarnation)) {
+        found->second.retired.contains(state.incarnation)) {
       continue;
     }
     EndpointView& view = found->second;
-    if (news.leaving) {
-      view.leaving.insert(news.incarnation);
+    if (state.leaving) {
+      view.leaving.insert(state.incarnation);
       KeepFew(view.leaving);
     }
-    if (news.down && news.incarnation == view.incarnation && !view.down &&
+    if (state.down && state.incarnation == view.incarnation && !view.down &&
         !view.Ejected(now)) {
       view.down = true;
       this->Eject(now, view, kEjection);
@@ -250,39 +250,40 @@
 bool Router::HasRoom(const EndpointView& view,
                      RequestClass request_class) const {
   const bool batch = request_class == RequestClass::kBatch;
-  const double places = view.Capacity() * (batch ? this->options.batch_occupancy
-                                                 : this->options.overbook);
-  const double longest =
+  const double slots = view.Capacity() * (batch ? this->options.batch_occupancy
+                                                : this->options.overbook);
+  const double max_seconds =
       this->options.max_prefill_seconds * (batch ? 0.5 : 1.0);
-  return view.Requests() < std::max(1.0, places) &&
-         view.WaitingSeconds() < longest;
+  return view.Requests() < std::max(1.0, slots) &&
+         view.WaitingSeconds() < max_seconds;
 }
 
 // Decays to 1 over time, so that an endpoint that was slow is tried again.
 double Router::Slowness(Instant now, const EndpointView& view) const {
   const double age = ToSeconds(now - view.slowness_at);
-  const double left = std::exp2(-age / kSlownessHalfLifeSeconds);
-  return 1 + (view.slowness - 1) * left;
+  const double weight = std::exp2(-age / kSlownessHalfLifeSeconds);
+  return 1 + (view.slowness - 1) * weight;
 }
 
 Router::Scored Router::Score(Instant now,
                              const EndpointView& view,
                              const Request& request) const {
-  const double hit = this->options.use_prefix_cache
-                         ? view.cache.HitShare(request.prefix_hashes)
-                         : 0;
+  const double hit_share = this->options.use_prefix_cache
+                               ? view.cache.HitShare(request.prefix_hashes)
+                               : 0;
   const auto missed = static_cast<int64_t>(
-      static_cast<double>(request.prompt_tokens) * (1 - hit));
+      static_cast<double>(request.prompt_tokens) * (1 - hit_share));
   const double slowness =
       this->options.eject_outliers ? Slowness(now, view) : 1;
   const bool remote = view.endpoint.data_centre != this->options.data_centre;
-  const double over = std::max(0.0, view.Requests() + 1 - view.Capacity()) *
-                      static_cast<double>(request.output_tokens) /
-                      view.DecodeRate();
+  const double overload_seconds =
+      std::max(0.0, view.Requests() + 1 - view.Capacity()) *
+      static_cast<double>(request.output_tokens) / view.DecodeRate();
   const double seconds = (view.WaitingSeconds() +
                           static_cast<double>(missed) / view.PrefillRate()) *
                              slowness +
-                         over + (remote ? this->options.remote_seconds : 0);
+                         overload_seconds +
+                         (remote ? this->options.remote_seconds : 0);
   // Work is weighted by the occupancy of the batch: decoding one more request
   // costs little on a nearly empty engine, but delays others on a nearly full
   // one.
@@ -343,12 +344,12 @@
     return sorted.front();
   }
   std::uniform_int_distribution<size_t> any(0, equals - 1);
-  const Scored& one = sorted[any(this->random)];
-  const Scored& two = sorted[any(this->random)];
+  const Scored& first = sorted[any(this->random)];
+  const Scored& second = sorted[any(this->random)];
   const auto load = [](const Scored& scored) {
     return scored.view->Requests() / scored.view->Capacity();
   };
-  return load(two) < load(one) ? two : one;
+  return load(second) < load(first) ? second : first;
 }
 
 std::optional<Route> Router::Choose(Instant now, const RouteQuery& query) {
@@ -373,9 +374,9 @@
   // retried, and an endpoint that receives only non-idempotent requests would
   // never leave probation.
   const bool once = query.request->request_class == RequestClass::kOnce;
-  const bool elsewhere = this->HasOther(now, *query.request, query.avoid);
+  const bool has_alternative = this->HasOther(now, *query.request, query.avoid);
   std::erase_if(scored, [&](const Scored& one) {
-    return elsewhere && query.avoid.contains(one.view->endpoint.id);
+    return has_alternative && query.avoid.contains(one.view->endpoint.id);
   });
   EraseUnlessAll(scored, [&](const Scored& one) {
     return query.avoid_zones.contains(one.view->endpoint.zone);
