--- a/packages/decisions/admission.cc
+++ b/packages/decisions/admission.cc
@@ -15,7 +15,7 @@
 constexpr double kLongestRetrySeconds = 30;
 constexpr double kJitter = 0.5;
 constexpr double kMinWeight = 0.001;
-constexpr size_t kPeers = 1024;
+constexpr size_t kMaxPeers = 1024;
 
 bool IsBatch(const Waiting& waiting) {
   return waiting.request_class == RequestClass::kBatch;
@@ -206,7 +206,7 @@
 }
 
 void Admission::OnDigest(const Digest& digest) {
-  if (this->peers.size() >= kPeers && !this->peers.contains(digest.host)) {
+  if (this->peers.size() >= kMaxPeers && !this->peers.contains(digest.host)) {
     return;
   }
   const bool first_digest = !this->peers.contains(digest.host);
--- a/packages/decisions/placement.cc
+++ b/packages/decisions/placement.cc
@@ -127,7 +127,7 @@
 
 Planner::Planner(ServiceId service,
                  RoleRatesTable rates,
-                 const PlacementOptions& options)
+                 const PlannerOptions& options)
     : service(std::move(service)), rates(std::move(rates)), options(options) {
   assert(std::ranges::all_of(this->rates,
                              [](const auto& entry) {
--- a/packages/decisions/placement.h
+++ b/packages/decisions/placement.h
@@ -17,7 +17,7 @@
 // the data centre, which holds the lease, turns them into orders.
 //
 // Index
-//   PlacementOptions                      thresholds and durations
+//   PlannerOptions                        thresholds and durations
 //   PlacementProposal, CapacityProposal   output
 //   EndpointState                         input, per endpoint
 //   RoleRates                             throughput of a role
@@ -40,7 +40,7 @@
 namespace hickorystand {
 
 // Parameters of the planner.
-struct PlacementOptions {
+struct PlannerOptions {
   // Interval of the samples, and how far ahead of them the forecast looks.
   Duration sample = std::chrono::seconds(15);
   Duration horizon = std::chrono::seconds(30);
@@ -68,7 +68,7 @@
   // Least time between two model loads, by the rate of the weight store.
   Duration load_interval = std::chrono::seconds(30);
 
-  auto operator<=>(const PlacementOptions&) const = default;
+  auto operator<=>(const PlannerOptions&) const = default;
 };
 
 // An endpoint order that the planner proposes to the coordinator.
@@ -157,7 +157,7 @@
  public:
   Planner(ServiceId service,
           RoleRatesTable rates,
-          const PlacementOptions& options = {});
+          const PlannerOptions& options = {});
 
   // A request arrived, with the token counts stated by its caller.
   void OnRequest(int64_t prompt_tokens, int64_t output_tokens);
@@ -227,7 +227,7 @@
 
   ServiceId service;
   RoleRatesTable rates;
-  PlacementOptions options;
+  PlannerOptions options;
   Leaning prompts;
   Leaning answers;
   Instant sample_began{};
--- a/packages/decisions/prefix_cache.cc
+++ b/packages/decisions/prefix_cache.cc
@@ -28,35 +28,35 @@
   }
   this->incarnation = event.incarnation;
   this->sequence = event.sequence;
-  for (const uint64_t piece : event.removed) {
-    this->pieces.erase(piece);
+  for (const uint64_t block : event.removed) {
+    this->pieces.erase(block);
   }
-  for (const uint64_t piece : event.added) {
-    this->Add(piece);
+  for (const uint64_t block : event.added) {
+    this->Add(block);
   }
 }
 
 void PrefixCache::Expect(const std::vector<uint64_t>& prefix_hashes) {
-  for (const uint64_t piece : prefix_hashes) {
-    this->Add(piece);
+  for (const uint64_t block : prefix_hashes) {
+    this->Add(block);
   }
 }
 
-void PrefixCache::Add(uint64_t piece) {
+void PrefixCache::Add(uint64_t block) {
   if (this->pieces.size() >= kMaxPieces) {
     // Evicts an arbitrary block to bound the memory.
     this->pieces.erase(this->pieces.begin());
     this->sure = false;
   }
-  this->pieces.insert(piece);
+  this->pieces.insert(block);
 }
 
 double PrefixCache::HitShare(const std::vector<uint64_t>& prefix_hashes) const {
   if (prefix_hashes.empty() || this->pieces.empty()) {
     return 0;
   }
-  const auto miss = std::ranges::find_if(prefix_hashes, [this](uint64_t piece) {
-    return !this->pieces.contains(piece);
+  const auto miss = std::ranges::find_if(prefix_hashes, [this](uint64_t block) {
+    return !this->pieces.contains(block);
   });
   const auto hits = static_cast<double>(miss - prefix_hashes.begin());
   const double share = hits / static_cast<double>(prefix_hashes.size());
--- a/packages/decisions/prefix_cache.h
+++ b/packages/decisions/prefix_cache.h
@@ -32,7 +32,7 @@
   size_t Size() const { return this->pieces.size(); }
 
  private:
-  void Add(uint64_t piece);
+  void Add(uint64_t block);
 
   std::unordered_set<uint64_t> pieces;
   uint64_t incarnation = 0;
--- a/packages/decisions/round_robin_dispatcher.cc
+++ b/packages/decisions/round_robin_dispatcher.cc
@@ -86,9 +86,11 @@
     bool caller_gone = false;
   };
 
-  std::optional<EndpointId> Choose(const Live& live);
-  bool Usable(const Live& live, const Endpoint& endpoint, bool anywhere) const;
-  DispatchList TryToSend(Live& live);
+  std::optional<EndpointId> Choose(const Live& active);
+  bool Usable(const Live& active,
+              const Endpoint& endpoint,
+              bool anywhere) const;
+  DispatchList TryToSend(Live& active);
   DispatchList Refuse(const RequestId& id, ErrorKind kind, std::string reason);
   DispatchList Forget(const RequestId& id, Dispatch last);
   Live* FindAttempt(AttemptId attempt);
@@ -281,25 +283,26 @@
       this->live, state, [](const auto& entry) { return entry.second.state; });
 }
 
-bool RoundRobinDispatcher::Usable(const Live& live,
+bool RoundRobinDispatcher::Usable(const Live& active,
                                   const Endpoint& endpoint,
                                   bool anywhere) const {
-  return endpoint.service == live.request.service &&
+  return endpoint.service == active.request.service &&
          (anywhere || endpoint.data_centre == this->options.data_centre) &&
          !this->leaving.contains(endpoint.id) &&
-         !live.tried.contains(endpoint.id) &&
+         !active.tried.contains(endpoint.id) &&
          // A spot endpoint can be withdrawn while it runs the request.
-         !(endpoint.cheap && live.request.request_class == RequestClass::kOnce);
+         !(endpoint.cheap &&
+           active.request.request_class == RequestClass::kOnce);
 }
 
 // The next endpoint in turn. Endpoints of other data centres are used only if
 // this one has none.
-std::optional<EndpointId> RoundRobinDispatcher::Choose(const Live& live) {
-  const EndpointId previous = this->last[live.request.service];
+std::optional<EndpointId> RoundRobinDispatcher::Choose(const Live& active) {
+  const EndpointId previous = this->last[active.request.service];
   for (const bool anywhere : {false, true}) {
     std::vector<EndpointId> usable;
     for (const auto& [id, endpoint] : this->configuration->endpoints) {
-      if (this->Usable(live, endpoint, anywhere)) {
+      if (this->Usable(active, endpoint, anywhere)) {
         usable.push_back(id);
       }
     }
@@ -311,32 +314,33 @@
   return std::nullopt;
 }
 
-DispatchList RoundRobinDispatcher::TryToSend(Live& live) {
-  assert(live.state == State::kQueued && "only queued requests can be sent");
-  assert((live.request.request_class != RequestClass::kOnce ||
-          !live.may_have_run) &&
+DispatchList RoundRobinDispatcher::TryToSend(Live& active) {
+  assert(active.state == State::kQueued && "only queued requests can be sent");
+  assert((active.request.request_class != RequestClass::kOnce ||
+          !active.may_have_run) &&
          "non-idempotent request that may have run is sent again");
-  std::optional<EndpointId> choice = this->Choose(live);
-  if (!choice && !live.tried.empty()) {
+  std::optional<EndpointId> choice = this->Choose(active);
+  if (!choice && !active.tried.empty()) {
     // All have been tried. One that failed may have recovered.
-    live.tried.clear();
-    choice = this->Choose(live);
+    active.tried.clear();
+    choice = this->Choose(active);
   }
   if (!choice) {
     return {};  // stays queued until its deadline
   }
-  this->last[live.request.service] = *choice;
-  live.state = State::kRunning;
-  live.attempt = this->next_attempt++;
-  live.endpoint = *choice;
-  live.tries += 1;
-  this->attempts[live.attempt] = live.request.id;
-  return {{.kind = DispatchKind::kSend,
-           .request = live.request.id,
-           .attempt = live.attempt,
-           .endpoint = *choice,
-           .resume_from = live.delivered,
-           .reason = live.tries > 1 ? "next in turn, retry" : "next in turn"}};
+  this->last[active.request.service] = *choice;
+  active.state = State::kRunning;
+  active.attempt = this->next_attempt++;
+  active.endpoint = *choice;
+  active.tries += 1;
+  this->attempts[active.attempt] = active.request.id;
+  return {
+      {.kind = DispatchKind::kSend,
+       .request = active.request.id,
+       .attempt = active.attempt,
+       .endpoint = *choice,
+       .resume_from = active.delivered,
+       .reason = active.tries > 1 ? "next in turn, retry" : "next in turn"}};
 }
 
 DispatchList RoundRobinDispatcher::Refuse(const RequestId& id,
