--- a/packages/decisions/round_robin_dispatcher.cc
+++ b/packages/decisions/round_robin_dispatcher.cc
@@ -1,8 +1,8 @@
-// The dispatcher plug-in `round-robin`: each request goes to the next endpoint
-// of its service in turn. It keeps every promise about requests (claims, no
-// repeat of what may have run, resumption, graceful shutdown), but weighs
-// neither load, caches nor fairness: a baseline for benches, and a policy that
-// an operator can fall back on.
+// The dispatcher plug-in `round-robin`: sends each request to the next endpoint
+// of its service in turn. It gives the same guarantees about requests as
+// `hickorystand` (claims, no repeat of a request that may have run, resumption,
+// graceful shutdown), but ignores load, prefix caches and fairness. It serves
+// as a baseline for benchmarks and as a fallback policy for operators.
 
 #include <algorithm>
 #include <cassert>
@@ -20,8 +20,9 @@
 constexpr int64_t kMaxTries = 3;
 constexpr Duration kRetryAfter = std::chrono::seconds(1);
 
-// What a request is told when its last try ended this way, and whether another
-// endpoint may run it after that, for a non-idempotent and another request.
+// For each outcome of an attempt: whether the request may be retried on another
+// endpoint, and the error returned if it was the last attempt. The `_once`
+// columns apply to non-idempotent requests.
 struct ResultRow {
   AttemptOutcome outcome;
   bool again_once;
@@ -77,7 +78,7 @@
     Request request;
     State state = State::kQueued;
     AttemptId attempt = 0;  // of kRunning
-    EndpointId endpoint;    // ditto
+    EndpointId endpoint;    // of kRunning
     int64_t tries = 0;
     int64_t delivered = 0;
     std::set<EndpointId> tried;
@@ -85,10 +86,12 @@
     bool caller_gone = false;
   };
 
-  std::optional<EndpointId> Choose(const Live& live);
-  bool Usable(const Live& live, const Endpoint& endpoint, bool anywhere) const;
-  DispatchList TryToSend(Live& live);
-  DispatchList Refuse(const RequestId& id, ErrorKind kind, std::string why);
+  std::optional<EndpointId> Choose(const Live& active);
+  bool Usable(const Live& active,
+              const Endpoint& endpoint,
+              bool anywhere) const;
+  DispatchList TryToSend(Live& active);
+  DispatchList Refuse(const RequestId& id, ErrorKind kind, std::string reason);
   DispatchList Forget(const RequestId& id, Dispatch last);
   Live* FindAttempt(AttemptId attempt);
   int64_t CountIn(State state) const;
@@ -98,7 +101,7 @@
   std::map<RequestId, Live> live;
   std::map<AttemptId, RequestId> attempts;
   std::set<EndpointId> leaving;
-  std::map<ServiceId, EndpointId> last;  // chosen last, per service
+  std::map<ServiceId, EndpointId> last;  // chosen last
   AttemptId next_attempt = 1;
   bool draining = false;
 };
@@ -120,15 +123,15 @@
              .error = Error{K::kOverloaded, "Too many requests are waiting.",
                             kRetryAfter}}};
   }
-  const auto [where, fresh] = this->live.emplace(request.id, Live{request});
-  assert(fresh && "a request arrives once");
+  const auto [entry, inserted] = this->live.emplace(request.id, Live{request});
+  assert(inserted && "request id is already in use");
   if (request.request_class == RequestClass::kOnce) {
-    where->second.state = State::kClaiming;
+    entry->second.state = State::kClaiming;
     return {{.kind = DispatchKind::kClaim,
              .request = request.id,
              .reason = "non-idempotent"}};
   }
-  return this->TryToSend(where->second);
+  return this->TryToSend(entry->second);
 }
 
 DispatchList RoundRobinDispatcher::OnClaim(Instant,
@@ -138,7 +141,8 @@
   if (found == this->live.end()) {
     return {};
   }
-  assert(found->second.state == State::kClaiming && "a claim is answered once");
+  assert(found->second.state == State::kClaiming &&
+         "the request has no claim in progress");
   switch (result) {
     case ClaimResult::kGranted:
       found->second.state = State::kQueued;
@@ -193,22 +197,22 @@
   if (found == this->live.end()) {
     return {};
   }
-  Live& gone = found->second;
-  // A non-idempotent request that runs is left to run: cancelling it would
-  // leave open what became of it.
-  if (gone.state == State::kRunning &&
-      gone.request.request_class == RequestClass::kOnce) {
-    gone.caller_gone = true;
+  Live& request = found->second;
+  // A non-idempotent request in flight is not cancelled: that would leave its
+  // outcome unknown.
+  if (request.state == State::kRunning &&
+      request.request.request_class == RequestClass::kOnce) {
+    request.caller_gone = true;
     return {};
   }
   DispatchList actions;
-  if (gone.state == State::kRunning) {
+  if (request.state == State::kRunning) {
     actions.push_back({.kind = DispatchKind::kCancel,
                        .request = id,
-                       .attempt = gone.attempt,
-                       .endpoint = gone.endpoint,
+                       .attempt = request.attempt,
+                       .endpoint = request.endpoint,
                        .reason = "caller gone"});
-    this->attempts.erase(gone.attempt);
+    this->attempts.erase(request.attempt);
   }
   this->live.erase(found);
   return actions;
@@ -224,9 +228,9 @@
 }
 
 DispatchList RoundRobinDispatcher::OnDigest(Instant, const Digest& digest) {
-  for (const EndpointNews& news : digest.endpoints) {
-    if (news.leaving || news.down) {
-      this->leaving.insert(news.endpoint);
+  for (const EndpointNews& state : digest.endpoints) {
+    if (state.leaving || state.down) {
+      this->leaving.insert(state.endpoint);
     }
   }
   return {};
@@ -279,24 +283,26 @@
       this->live, state, [](const auto& entry) { return entry.second.state; });
 }
 
-bool RoundRobinDispatcher::Usable(const Live& live,
+bool RoundRobinDispatcher::Usable(const Live& active,
                                   const Endpoint& endpoint,
                                   bool anywhere) const {
-  return endpoint.service == live.request.service &&
+  return endpoint.service == active.request.service &&
          (anywhere || endpoint.data_centre == this->options.data_centre) &&
          !this->leaving.contains(endpoint.id) &&
-         !live.tried.contains(endpoint.id) &&
-         // A cheap endpoint can vanish while it runs the request.
-         !(endpoint.cheap && live.request.request_class == RequestClass::kOnce);
+         !active.tried.contains(endpoint.id) &&
+         // A spot endpoint can be withdrawn while it runs the request.
+         !(endpoint.cheap &&
+           active.request.request_class == RequestClass::kOnce);
 }
 
-// The next endpoint in turn; of this data centre, if it has any.
-std::optional<EndpointId> RoundRobinDispatcher::Choose(const Live& live) {
-  const EndpointId previous = this->last[live.request.service];
+// The next endpoint in turn. Endpoints of other data centres are used only if
+// this one has none.
+std::optional<EndpointId> RoundRobinDispatcher::Choose(const Live& active) {
+  const EndpointId previous = this->last[active.request.service];
   for (const bool anywhere : {false, true}) {
     std::vector<EndpointId> usable;
     for (const auto& [id, endpoint] : this->configuration->endpoints) {
-      if (this->Usable(live, endpoint, anywhere)) {
+      if (this->Usable(active, endpoint, anywhere)) {
         usable.push_back(id);
       }
     }
@@ -308,44 +314,45 @@
   return std::nullopt;
 }
 
-DispatchList RoundRobinDispatcher::TryToSend(Live& live) {
-  assert(live.state == State::kQueued && "only what waits can be sent");
-  assert((live.request.request_class != RequestClass::kOnce ||
-          !live.may_have_run) &&
-         "a non-idempotent request that may have run is never sent again");
-  std::optional<EndpointId> choice = this->Choose(live);
-  if (!choice && !live.tried.empty()) {
-    // All have been tried. One that failed may be well again.
-    live.tried.clear();
-    choice = this->Choose(live);
+DispatchList RoundRobinDispatcher::TryToSend(Live& active) {
+  assert(active.state == State::kQueued && "only queued requests can be sent");
+  assert((active.request.request_class != RequestClass::kOnce ||
+          !active.may_have_run) &&
+         "non-idempotent request that may have run is sent again");
+  std::optional<EndpointId> choice = this->Choose(active);
+  if (!choice && !active.tried.empty()) {
+    // All have been tried. One that failed may have recovered.
+    active.tried.clear();
+    choice = this->Choose(active);
   }
   if (!choice) {
     return {};  // stays queued until its deadline
   }
-  this->last[live.request.service] = *choice;
-  live.state = State::kRunning;
-  live.attempt = this->next_attempt++;
-  live.endpoint = *choice;
-  live.tries += 1;
-  this->attempts[live.attempt] = live.request.id;
-  return {{.kind = DispatchKind::kSend,
-           .request = live.request.id,
-           .attempt = live.attempt,
-           .endpoint = *choice,
-           .resume_from = live.delivered,
-           .reason = live.tries > 1 ? "next in turn, again" : "next in turn"}};
+  this->last[active.request.service] = *choice;
+  active.state = State::kRunning;
+  active.attempt = this->next_attempt++;
+  active.endpoint = *choice;
+  active.tries += 1;
+  this->attempts[active.attempt] = active.request.id;
+  return {
+      {.kind = DispatchKind::kSend,
+       .request = active.request.id,
+       .attempt = active.attempt,
+       .endpoint = *choice,
+       .resume_from = active.delivered,
+       .reason = active.tries > 1 ? "next in turn, retry" : "next in turn"}};
 }
 
 DispatchList RoundRobinDispatcher::Refuse(const RequestId& id,
                                           ErrorKind kind,
-                                          std::string why) {
-  Error error{kind, "The request could not be served: " + why + "."};
+                                          std::string reason) {
+  Error error{kind, "The request could not be served: " + reason + "."};
   if (AnswerFor(kind).retry) {
     error.retry_after = kRetryAfter;
   }
   return this->Forget(id, {.kind = DispatchKind::kRefuse,
                            .request = id,
-                           .reason = std::move(why),
+                           .reason = std::move(reason),
                            .error = std::move(error)});
 }
 
