--- a/packages/decisions/lease.cc
+++ b/packages/decisions/lease.cc
@@ -53,7 +53,7 @@
 Lease::Lease(LeaseOptions options) : options(std::move(options)) {
   assert(!this->options.host.Empty() && "a lease needs its host's id");
   assert(this->options.host.Text().find('/') == std::string::npos &&
-         "a host's id bears no slash, which ends it in the lease record");
+         "a host's id has no slash, which ends it in the lease record");
   assert(this->options.margin < this->options.length);
   assert(this->options.renew_every < this->options.length);
 }
@@ -72,7 +72,7 @@
     this->Lose(now, out);
     return;
   }
-  // A reply that never comes must not end the contest for good.
+  // A lost reply must not stop this host from acquiring the lease later.
   if (this->call && now - this->call->asked >= this->options.call_timeout) {
     this->call.reset();
     if (this->state == State::kCreating || this->state == State::kReadingBack) {
@@ -125,7 +125,7 @@
                            const Result<int64_t>& lease,
                            std::vector<LeaseAction>& out) {
   if (!this->TakeReply(tag)) {
-    // Granted after it was given up: nothing is bound to it, so let it go.
+    // Granted after the call timed out: no record is bound to it.
     if (lease) {
       out.emplace_back(RevokeLease{.lease = *lease});
     }
@@ -156,7 +156,7 @@
     if (left.error().kind == ErrorKind::kNotFound) {
       this->Lose(now, out);
     }
-    return true;  // any other failure: ask again at the next tick
+    return true;  // any other failure: retried at the next tick
   }
   this->counted_from = asked;
   this->valid_until = std::max(
@@ -191,7 +191,8 @@
   const LeaseRelease release{.host = this->options.host,
                              .incarnation = this->options.incarnation,
                              .wait = wait};
-  // Bound to the lease, so that it expires unless a host takes over soon.
+  // Bound to the lease, so that the release record expires with it unless a
+  // host takes over before.
   out.emplace_back(RunTransaction{
       .tag = this->Ask(now),
       .transaction = {
@@ -228,7 +229,7 @@
 }
 
 CallTag Lease::Ask(Instant now) {
-  assert(!this->call && "a lease has one call under way at a time");
+  assert(!this->call && "a lease has one call in flight at a time");
   this->call = Call{.tag = this->NextTag(), .asked = now};
   return this->call->tag;
 }
@@ -249,7 +250,7 @@
                      const StoreReply& reply,
                      std::vector<LeaseAction>& out) {
   if (reply.outcome != StoreOutcome::kThen) {
-    return;  // not answered; ask again at the next poll
+    return;  // no answer; retried at the next poll
   }
   if (!reply.records.empty()) {
     this->last_holder = HolderOf(reply.records.front().value);
@@ -265,8 +266,9 @@
       GrantLease{.tag = this->Ask(now), .length = this->options.length});
 }
 
-// Requires that the release record is `release`, or absent if null. If another
-// one is there, the reply has it, and the transaction is repeated with it.
+// Creates the lease record on condition that the release record is `release`,
+// or absent if null. If there is another one, the reply contains it, and the
+// transaction is repeated with it.
 void Lease::Create(Instant now,
                    const StoreRecord* release,
                    std::vector<LeaseAction>& out) {
@@ -307,9 +309,10 @@
       this->Follow(now, out);
       break;
     case StoreOutcome::kUnknown:
-      // The record may be there although nobody said so. Assuming failure
-      // would leave the data centre without a holder until it expires;
-      // assuming success could make two. The unique token tells.
+      // The record may have been created although the reply was lost. Assuming
+      // failure would leave the data centre without a holder until the record
+      // expires; assuming success could make two holders. Reading the record
+      // back and comparing its unique token decides.
       this->ReadBack(now, out);
       break;
   }
@@ -341,8 +344,8 @@
   const StoreRecord* record =
       FindRecord(reply, LeaseKey(this->options.data_centre));
   if (!answered || record == nullptr) {
-    // Not there, or no telling. Following revokes the lease, without which a
-    // write that is still on its way can't take effect.
+    // The record is absent or its state unknown. Revokes the store's lease, so
+    // that a write that is still in flight can't take effect.
     this->Follow(now, out);
     return;
   }
