--- a/packages/decisions/coordinator.cc
+++ b/packages/decisions/coordinator.cc
@@ -13,8 +13,8 @@
 
 constexpr std::string_view kPart = "coordinator";
 constexpr size_t kMaxArgumentBytes = 256;
-// The coordinator ends a source after forget_after; the others keep it longer,
-// so that whoever closes the next windows has heard of it.
+// The coordinator ends a source after `usage_retention`. The other hosts keep
+// it longer, so that the host that closes the next windows still has it.
 constexpr int64_t kForgetFactor = 2;
 
 int64_t TotalOf(const AccountUsage& counts) {
@@ -76,7 +76,7 @@
 
 void Coordinator::OnTick(Instant now, CoordinatorActions& out) {
   this->TickLease(now, out);
-  // A reply that never comes: what was written is read back.
+  // The reply is lost, so the record is read back.
   if (this->call && now - this->call->asked >= this->options.call_timeout) {
     this->call.reset();
     this->RetryLater(now, &Coordinator::ReadRecord);
@@ -143,7 +143,7 @@
     case OrderReply::kRunning:
     case OrderReply::kNoReply:
     case OrderReply::kNotSent:
-      break;  // sent again when it is due
+      break;  // sent again at next_send
   }
   this->Drive(now, out);
 }
@@ -163,8 +163,8 @@
 void Coordinator::OnEndpointRestarted(Instant now,
                                       const EndpointId& endpoint,
                                       CoordinatorActions& out) {
-  // Not even an earlier holder's order ends here: this news may be older than
-  // a connection which that holder has to the endpoint's new process.
+  // This doesn't end an earlier holder's order either: the event may be older
+  // than a connection from that holder to the endpoint's new process.
   for (auto& [id, open] : this->orders) {
     if (open.order.endpoint == endpoint && open.stage == Stage::kSent) {
       open.next_send = now;
@@ -249,7 +249,7 @@
   return open;
 }
 
-// One step of whatever is due. Called at the end of every event.
+// Performs the steps that are due. Called at the end of every event.
 void Coordinator::Drive(Instant now, CoordinatorActions& out) {
   if (this->phase == Phase::kIdle && this->stopping) {
     std::vector<LeaseAction> wanted;
@@ -277,8 +277,8 @@
   }
 }
 
-// First thing at every event: a host that slept through its lease must find
-// out before it does anything else.
+// Called first at every event: a host that was suspended past the end of its
+// lease must end the tenure before it does anything else.
 void Coordinator::TickLease(Instant now, CoordinatorActions& out) {
   std::vector<LeaseAction> wanted;
   this->lease.OnTick(now, wanted);
@@ -301,7 +301,7 @@
 
 void Coordinator::Begin(Instant now, CoordinatorActions& out) {
   assert(this->orders.empty() && this->reports.empty() &&
-         "a tenure starts from the record alone");
+         "a tenure starts from the stored record alone");
   this->fencing = this->lease.Fencing();
   this->next_order = 1;
   this->last_release.reset();
@@ -335,14 +335,16 @@
   }
 }
 
-// Takes over what earlier holders began: it is recorded as this tenure's before
-// it leaves again, so that the next successor knows whom to wait for. Without
-// that, one that began an order long ago would later take it for its own, while
-// the last to repeat it still stands between its check and the send.
+// Takes over the intents of earlier holders. They are recorded under this
+// tenure before they are sent again, so that the next successor can tell which
+// holder to wait for. Otherwise a host that recorded an order in an early
+// tenure would, as holder again, treat it as its own and send it, while the
+// last host that repeated it may still be between its check and the send.
 //
-// An order to an endpoint may be taken over at once, as the endpoint knows it
-// by its id. The platform must not hear from two hosts that both believe to be
-// in charge, so there the earlier holder must be known to have stopped.
+// An order to an endpoint may be taken over at once, as the endpoint
+// deduplicates it by its id. The platform must not get calls from two hosts
+// that both act as the holder, so for it the earlier holder must be known to
+// have stopped.
 void Coordinator::TakeOver(Instant now) {
   if (!this->options.record_takeover) {
     return;
@@ -366,7 +368,7 @@
   }
 }
 
-// Whether an intent is this tenure's to send.
+// Whether this tenure may send an intent.
 bool Coordinator::MaySendFor(Instant now,
                              int64_t fencing,
                              const HostId& holder,
@@ -402,10 +404,11 @@
                         order.ToPlatform())) {
     return;
   }
-  assert(this->MayAct(now, this->fencing) && "no order leaves without lease");
+  assert(this->MayAct(now, this->fencing) &&
+         "no order is sent without the lease");
   assert((unrecorded || std::ranges::find(this->stored.orders, order) !=
                             this->stored.orders.end()) &&
-         "an order is recorded under its sender's name before it leaves");
+         "an order is recorded under its sender's name before it is sent");
   if (!unrecorded) {
     open.stage = Stage::kSent;
   }
@@ -429,7 +432,8 @@
                         true)) {
     return;
   }
-  assert(this->MayAct(now, this->fencing) && "no report leaves without lease");
+  assert(this->MayAct(now, this->fencing) &&
+         "no report is sent without the lease");
   assert(std::ranges::find(this->stored.windows, window) !=
              this->stored.windows.end() &&
          "a window is recorded under its sender's name before it is reported");
@@ -440,8 +444,8 @@
                                    .figures = open.window->figures});
 }
 
-// Whether the holder that last sent something is known to have stopped, so that
-// nothing of it can leave its host any more.
+// Whether the holder under which an intent is recorded is known to have
+// stopped, so that its host can't send anything of that tenure any more.
 bool Coordinator::HolderStopped(Instant now,
                                 int64_t fencing,
                                 const HostId& holder,
@@ -465,7 +469,8 @@
          now - gone->second >= this->options.unlisted_for;
 }
 
-// Notes which sources still count, and drops those that were over long ago.
+// Records when each source's counters last grew, and drops sources that ended
+// long ago.
 void Coordinator::AgeUsage(Instant now) {
   const auto note = [this, now](const auto& entry) {
     SourceAge& age = this->ages[entry.first];
@@ -487,7 +492,8 @@
   });
 }
 
-// Whether a source's process is gone and has counted nothing for long.
+// Whether a source's process is gone and its counters haven't grown for
+// `usage_retention`.
 bool Coordinator::SourceIsOver(Instant now, const UsageSource& source) const {
   const auto age = this->ages.find(source);
   const auto latest = this->incarnations.find(source.host);
@@ -505,8 +511,9 @@
     if (open.stage == Stage::kFinished) {
       return false;
     }
-    // What earlier holders began is finished first, also after its takeover: a
-    // copy of theirs may still arrive between this tenure's own orders.
+    // Orders of earlier holders are finished first, also after their takeover:
+    // an earlier holder's copy may still arrive between this tenure's own
+    // orders.
     const bool earlier =
         !open.order.id.Text().starts_with(std::to_string(this->fencing) + "-");
     return (to_platform && open.order.ToPlatform() && earlier) ||
--- a/packages/decisions/coordinator.h
+++ b/packages/decisions/coordinator.h
@@ -1,31 +1,40 @@
-// The coordinator of one data centre: gives orders to its endpoints and to the
-// platform, and reports its usage, while it holds the lease.
+// The coordinator of one data centre: while it holds the lease, it sends orders
+// to the endpoints and the platform, and reports the data centre's usage.
 //
-// Every entry host runs one; the lease decides which of them acts. It is pure:
-// events come in with their time, actions go out as values.
+// Every ingress host runs one; the lease decides which of them acts. It is a
+// state machine without I/O: events come in with their time, and the actions to
+// carry out are returned as values.
 //
-//   an order:  Propose -> recorded in the store -> SendOrder -> reply ->
-//   removed a window:  closed and written in the store -> SendUsageReport ->
-//   removed
+//   order:   Propose -> recorded in the store -> SendOrder -> reply -> removed
+//   window:  closed and written in the store -> SendUsageReport -> removed
 //
-// Nothing leaves before its intent is recorded under the holder's own fencing
-// number, and a record is only written while that lease stands. So a deposed
-// holder can't begin anything new; and what it may have begun, its successor
-// reads. The successor repeats such an order as it stands and gives the
-// endpoint no other until that is reported done. What goes to the platform
-// waits until the earlier holder is known to have stopped: it said so, its host
-// runs a new process, or its host left the platform's list.
+// An order or report is sent only after it was recorded as an intent under the
+// holder's own fencing number, and the record is written only while that lease
+// is held. So a deposed holder can't start anything new, and its successor
+// reads what the holder may have started. The successor repeats such an order
+// unchanged and sends the endpoint no other one until it is reported done.
+// Orders and reports to the platform wait until the earlier holder is known to
+// have stopped: it announced its release, its host runs a new process, or its
+// host was removed from the platform's list.
 //
-// The caller must ask MayAct() in the very step that hands the bytes of an
-// order or a report to a socket that is already connected, and drop the action
-// if it may not. A connection dies with the endpoint's process, so that an
-// order delayed in it can't reach the next one.
+// The caller must check MayAct() in the same step that hands the bytes of an
+// order or a report to a connected socket, and drop the action if it returns
+// false. A connection closes with the endpoint's process, so an order that is
+// delayed in it can't reach the endpoint's next process.
 //
 // Index
-//   SendOrder ... CoordinatorAction   what it wants done
-//   Release                           word that a holder stopped
-//   CoordinatorOptions                how it is set
+//   SendOrder ... CoordinatorAction   actions for the caller to carry out
+//   ReleaseNotice                     notice that a holder has stopped
+//   CoordinatorOptions                intervals and limits
+//   OrderRequest                      an order to propose
 //   Coordinator                       the state machine
+//
+//   Coordinator coordinator({.lease = {.data_centre = data_centre, ...}});
+//   coordinator.OnTick(now, actions);
+//   if (coordinator.Ready()) {
+//     const Result<OrderId> id = coordinator.Propose(now, request, actions);
+//   }
+//   // Carry out `actions`; report back by OnStoreReply(), OnOrderReply(), ...
 
 #pragma once
 
@@ -47,8 +56,8 @@
 
 namespace hickorystand {
 
-// Sends an order to its endpoint. An endpoint takes an id that it knows as a
-// repeat and answers with that order's state.
+// Sends an order to its endpoint. An endpoint that has received the id before
+// treats it as a repeat and answers with that order's state.
 struct SendOrder {
   Order order;
   int64_t fencing = 0;  // of the sender, which may be a successor
@@ -74,8 +83,8 @@
   bool operator==(const SendUsageReport&) const = default;
 };
 
-// A holder's word that it stopped: no byte of this tenure, or of an earlier one
-// of the same host, leaves it any more.
+// A holder's notice that it has stopped: its host sends no further byte of this
+// tenure or of an earlier one.
 struct Release {
   HostId host;
   uint64_t incarnation = 0;
@@ -84,8 +93,8 @@
   bool operator==(const Release&) const = default;
 };
 
-// Tells every host of the data centre. Repeated now and then, as it may be
-// lost.
+// Sends a release notice to every host of the data centre. Repeated every
+// `announce_every`, as it may be lost.
 struct TellReleased {
   Release release;
 
@@ -102,17 +111,17 @@
                                        TellReleased>;
 using CoordinatorActions = std::vector<CoordinatorAction>;
 
-// What became of an order that was sent, as its receiver answered.
+// The outcome of sending an order.
 enum class OrderReply {
-  kRunning,   // accepted or under way
+  kRunning,   // accepted or in progress
   kDone,      // carried out; also the platform's acceptance
-  kRejected,  // refused for good, without effect
+  kRejected,  // refused permanently, without effect
   kStale,     // refused: the receiver has seen a higher fencing number
   kNoReply,   // lost or failed: it may have arrived
-  kNotSent,   // surely no byte left, as when MayAct() said no
+  kNotSent,   // no byte was sent, as when MayAct() returned false
 };
 
-// What became of a usage report.
+// The outcome of sending a usage report.
 enum class ReportReply {
   kAccepted,
   kNoReply,
@@ -127,37 +136,37 @@
   auto operator<=>(const HostListing&) const = default;
 };
 
-// How a coordinator is set.
 struct CoordinatorOptions {
   LeaseOptions lease;
-  // At most one write of the record in this time; what comes up meanwhile goes
-  // together: 5 writes a second per data centre at the worst.
+  // The shortest interval between writes of the record; changes in between are
+  // batched. Limits the load to 5 writes per second per data centre.
   Duration write_every = std::chrono::milliseconds(200);
   Duration resend_every = std::chrono::seconds(1);
   Duration window_length = std::chrono::seconds(60);
-  Duration announce_every = std::chrono::seconds(2);  // of a release
-  // How long a planned stop waits for replies to what was sent.
+  Duration announce_every = std::chrono::seconds(2);  // for release notices
+  // How long a planned stop waits for replies to orders and reports in flight.
   Duration release_grace = std::chrono::seconds(2);
   // How long a host must be missing from the platform's list before it counts
-  // as gone. Covers the list's lag, also for a host that has only just joined.
+  // as gone. Covers the list's lag, also for a host that has just joined.
   Duration unlisted_for = std::chrono::seconds(30);
   Duration call_timeout = std::chrono::seconds(5);
   int64_t max_orders = 1024;           // open at once; about 300 bytes each
   int64_t max_windows = 1000;          // closed and not reported
-  int64_t max_record_bytes = 900'000;  // the store takes a megabyte
+  int64_t max_record_bytes = 900'000;  // the store accepts one megabyte
   int64_t kept_windows = 60;           // reported ones that stay readable
-  // How long a host's process must have counted nothing, and be gone, before
-  // its counters are dropped. Well above any partition.
+  // How long a source's counters must have been unchanged, and its process be
+  // gone, before they are dropped. Well above the length of any partition.
   Duration forget_after = std::chrono::hours(1);
 
-  // Off only in mutation tests; each shows that its mechanism is needed.
-  bool write_intent_first = true;   // record an order before it leaves
-  bool successor_waits = true;      // heed what earlier holders began
-  bool record_takeover = true;      // record whoever repeats an order
+  // False only in mutation tests, which show that each mechanism is needed.
+  bool write_intent_first = true;   // record an order before it is sent
+  bool successor_waits = true;      // respect the intents of earlier holders
+  bool record_takeover = true;      // record the host that repeats an order
   bool window_written_once = true;  // write figures before reporting them
 };
 
-// What an order should do; becomes an Order when proposed.
+// An order as its caller requests it; Propose() makes it an Order. The members
+// mean the same as those of Order.
 struct OrderRequest {
   OrderKind kind = OrderKind::kSetRole;
   EndpointId endpoint;
@@ -170,26 +179,29 @@
   bool operator==(const OrderRequest&) const = default;
 };
 
-// One host's coordinator.
+// One host's coordinator. Call OnTick() regularly and the other On... methods
+// as their events occur; each appends to `out` the actions to carry out.
 class Coordinator {
  public:
   explicit Coordinator(CoordinatorOptions options);
 
-  // Whether orders and reports of this fencing number may leave now.
+  // Whether orders and reports of this fencing number may be sent now.
   bool MayAct(Instant now, int64_t fencing) const;
 
-  // Whether it holds the lease and knows what earlier holders left.
+  // Whether it holds the lease and has read the intents of earlier holders.
   bool Ready() const { return this->phase == Phase::kReady; }
   const Lease& Authority() const { return this->lease; }
 
-  // Proposes an order; answers its id. Refused with kNotHolder without the
-  // lease, kConflict while the endpoint has another order open, kOverloaded
-  // when too many are open, and kShuttingDown during a planned stop.
+  // Proposes an order and returns its id. Fails with kNotHolder without the
+  // lease, kTooLarge if the argument is too long, kConflict while the endpoint
+  // has another order open or an earlier holder's order to the platform is
+  // unfinished, kOverloaded when too many orders are open, and kShuttingDown
+  // during a planned stop.
   Result<OrderId> Propose(Instant now,
                           const OrderRequest& request,
                           CoordinatorActions& out);
 
-  // Call every 50 ms or so.
+  // Call about every 50 ms.
   void OnTick(Instant now, CoordinatorActions& out);
 
   // Replies of the key-value service.
@@ -206,7 +218,7 @@
                       const Result<Duration>& left,
                       CoordinatorActions& out);
 
-  // Replies to what was sent.
+  // Replies to orders and usage reports.
   void OnOrderReply(Instant now,
                     const OrderId& order,
                     OrderReply reply,
@@ -216,8 +228,8 @@
                      ReportReply reply,
                      CoordinatorActions& out);
 
-  // An endpoint restarted and may have forgotten its orders: they are sent
-  // again. Or it is no longer part of the fleet, which ends them.
+  // An endpoint restarted and may have lost its orders: they are sent again.
+  // An endpoint that is gone, i.e. no longer part of the fleet, ends them.
   void OnEndpointRestarted(Instant now,
                            const EndpointId& endpoint,
                            CoordinatorActions& out);
@@ -230,41 +242,41 @@
                const std::vector<HostListing>& hosts,
                CoordinatorActions& out);
 
-  // Word from a peer: of its release, or only which incarnation it runs (from
-  // its digests), which ends what earlier incarnations of it may have begun.
+  // Messages of a peer: its release notice, or only its incarnation (from its
+  // digests), which proves that its earlier incarnations have stopped.
   void OnReleased(Instant now, const Release& release, CoordinatorActions& out);
   void OnPeer(Instant now,
               const HostId& host,
               uint64_t incarnation,
               CoordinatorActions& out);
 
-  // Usage of this or another host. Every coordinator is told, as any of them
-  // may be the next to close a window.
+  // Usage of this or another host. Pass it to every coordinator, also without
+  // the lease, as any of them may be the next to close a window.
   void OnUsage(const UsageCopy& copy) { this->ledger.Merge(copy); }
   const UsageLedger& Usage() const { return this->ledger; }
 
-  // A planned stop: nothing new is begun, replies are awaited for a moment,
-  // then the lease is given up and the others are told.
+  // Starts a planned stop: accepts no new orders, waits up to `release_grace`
+  // for replies, then ends the tenure and announces the release.
   void StartRelease(Instant now, CoordinatorActions& out);
   bool Released() const { return this->phase == Phase::kReleased; }
 
-  // Orders that stand in the record or wait for it, for status and placement.
+  // The orders that are recorded or about to be, for status and placement.
   std::vector<Order> OpenOrders() const;
 
  private:
   enum class Phase {
     kIdle,            // without the lease
-    kReadingRecord,   // has the lease, reads what earlier holders left
-    kReadingWindows,  // then the windows that this names
+    kReadingRecord,   // holds the lease, reads the order record
+    kReadingWindows,  // reads the usage windows that the record names
     kReady,
     kReleasing,
     kReleased,
   };
 
-  // How far an open order or window is.
+  // The progress of an open order or window.
   enum class Stage {
-    kProposed,  // not recorded yet; must not leave
-    kRecorded,  // recorded, and nothing sent by this tenure
+    kProposed,  // not recorded yet; must not be sent
+    kRecorded,  // recorded, but not sent by this tenure
     kSent,      // sent at least once without a final reply
     kFinished,  // to be removed from the record
   };
@@ -282,7 +294,7 @@
     std::optional<UsageWindow> window;  // unset until read
   };
 
-  // One transaction under way, and what takes its reply.
+  // The transaction in flight, and the handler of its reply.
   struct Call {
     using Handler = void (Coordinator::*)(Instant,
                                           const StoreReply&,
@@ -292,7 +304,7 @@
     Handler handler = nullptr;
   };
 
-  // A step that is tried again after a pause.
+  // A step that is retried after a delay.
   using Step = void (Coordinator::*)(Instant, CoordinatorActions&);
 
   void Drive(Instant now, CoordinatorActions& out);
@@ -352,12 +364,12 @@
   Lease lease;
   UsageLedger ledger;
   Phase phase = Phase::kIdle;
-  bool stopping = false;  // a planned stop was asked for
-  int64_t fencing = 0;    // of this tenure; 0 without one
+  bool stopping = false;  // a planned stop was requested
+  int64_t fencing = 0;    // of this tenure; 0 without the lease
   int64_t next_order = 1;
   std::optional<Call> call;
-  OrderRecord writing;          // what the call under way writes
-  UsageWindow closing;          // and the window that it closes; number 0: none
+  OrderRecord writing;          // content written by the call in flight
+  UsageWindow closing;          // window closed by that call; number 0: none
   OrderRecord stored;           // as last read or written
   int64_t stored_revision = 0;  // 0: there is no record yet
   std::map<OrderId, OpenOrder> orders;
@@ -379,7 +391,7 @@
   };
   std::map<UsageSource, SourceAge> ages;
   std::set<HostId> listed;
-  std::map<HostId, Instant> left;  // hosts that left the list, and when
+  std::map<HostId, Instant> left;  // when missing holders were first noticed
 };
 
 }  // namespace hickorystand
--- a/packages/decisions/coordinator_record.cc
+++ b/packages/decisions/coordinator_record.cc
@@ -1,5 +1,5 @@
-// The coordinator's dealings with the data centre's record: reading what
-// earlier holders left, and writing what is meant next.
+// The coordinator's access to the data centre's order record and usage windows:
+// reads the intents of earlier holders and writes those of this tenure.
 
 #include <algorithm>
 #include <cassert>
@@ -28,23 +28,24 @@
                                   .transaction = std::move(transaction)});
 }
 
-// A read that failed is made again after a pause, lest a store that refuses at
-// once be asked without end.
+// Retries a failed read after a delay. Without the delay, a store that refuses
+// immediately would be called in a loop.
 void Coordinator::RetryLater(Instant now, Step step) {
   this->retry = step;
   this->retry_at = now + this->options.write_every;
 }
 
-// The condition on every transaction: this tenure's lease record still stands.
-// Without it a write that was delayed past the lease would take effect.
+// The condition of every transaction: this tenure's lease record still exists.
+// Without it a write that is delayed past the end of the lease would take
+// effect.
 StoreCompare Coordinator::LeaseStands() const {
   return {.key = LeaseKey(this->options.lease.data_centre),
           .field = StoreCompare::Field::kCreateRevision,
           .revision = this->fencing};
 }
 
-// After a transaction whose conditions failed: whether the lease was the cause,
-// which ends the tenure.
+// Call after a transaction whose conditions failed. Returns whether the lease
+// is still held; if it isn't, ends the tenure.
 bool Coordinator::CheckLease(Instant now,
                              const StoreReply& reply,
                              CoordinatorActions& out) {
@@ -79,8 +80,9 @@
   }
 }
 
-// What stands in the store is the truth about what is recorded: whether an own
-// write whose reply was lost took effect, and what earlier holders began.
+// Loads the record from a reply. The stored content alone decides what counts
+// as recorded: whether an own write whose reply was lost took effect, and what
+// earlier holders started.
 void Coordinator::Adopt(Instant now,
                         const StoreReply& reply,
                         CoordinatorActions& out) {
@@ -90,7 +92,7 @@
   Result<OrderRecord> content =
       DecodeOrderRecord(record == nullptr ? "" : record->value);
   if (!content) {
-    LogError(kPart, "Order record can't be read; no order is given.",
+    LogError(kPart, "Order record can't be parsed; no orders are sent.",
              {{"cause", content.error().message}});
     return;
   }
@@ -173,10 +175,10 @@
                                    ? Fail(ErrorKind::kNotFound, "not there")
                                    : DecodeUsageWindow(record->value);
   if (!window && this->options.window_written_once) {
-    // Somebody removed or damaged it. What was counted up to then isn't known,
-    // so everything heard of so far counts as reported: less is better billed
-    // too little than twice.
-    LogError(kPart, "Closed usage window is lost.",
+    // The window was removed or damaged, so it is unknown how far the sources
+    // were counted. All usage in the ledger counts as reported: billing too
+    // little is better than billing twice.
+    LogError(kPart, "Closed usage window is missing or damaged.",
              {{"window", std::to_string(number)},
               {"cause", window.error().message}});
     this->reports.erase(number);
@@ -228,20 +230,20 @@
   }
   std::string text = EncodeOrderRecord(content);
   assert(std::ssize(text) <= this->options.max_record_bytes &&
-         "limits on orders and windows keep the record small");
+         "limits on orders and windows keep the record below the limit");
   transaction.then.push_back(StorePut(key, std::move(text)));
   this->writing = std::move(content);
   this->next_write = now + this->options.write_every;
   this->Transact(now, std::move(transaction), &Coordinator::OnWritten, out);
 }
 
-// Closes the next usage window in the same transaction, unless nothing was
-// used. Its figures are created once and never written again.
+// Closes the next usage window in the same transaction, unless there was no
+// usage. The window's figures are created once and never overwritten.
 void Coordinator::AddWindow(Instant now,
                             StoreTransaction& transaction,
                             OrderRecord& content) {
   if (std::ssize(content.windows) >= this->options.max_windows) {
-    return;  // the platform takes no reports; the counters keep counting
+    return;  // the platform accepts no reports; a later window has the usage
   }
   const int64_t number = this->stored.last_window + 1;
   std::vector<UsageSource> ending;
@@ -292,14 +294,14 @@
       this->TakeWritten(now);
       break;
     case StoreOutcome::kOtherwise:
-      // An own write whose reply was lost came before this one, or the lease
-      // is gone.
+      // An own write whose reply was lost took effect before this one, or the
+      // lease has ended.
       if (this->CheckLease(now, reply, out)) {
         this->Adopt(now, reply, out);
       }
       break;
     case StoreOutcome::kNotApplied:
-      break;  // written again when the next write is due
+      break;  // retried at next_write
     case StoreOutcome::kUnknown:
       this->ReadRecord(now, out);
       break;
