--- a/packages/decisions/duty_tenure.h
+++ b/packages/decisions/duty_tenure.h
@@ -1,14 +1,15 @@
-// When a new holder of the fleet's duties may act.
+// How long a new holder of the duties lease must wait before it may send calls
+// to the platform and the engines.
 //
 // The platform and the engines don't compare fencing numbers, so no call of an
-// earlier holder may arrive once a new one acts. Calls that weren't answered
-// may still be in the network; a lease's length after their connections were
-// reset they are taken for gone. A holder that leaves without a release may
-// have such calls, so its successor waits that long. One that releases the
-// lease has stopped sending, and knows which of its calls were answered: it
-// passes on the longest wait that is left, its own included. A tenure shorter
-// than a lease's length passes on the rest of it, so that hosts don't alternate
-// within that time.
+// earlier holder may arrive after a new holder has begun to act. Unanswered
+// calls may still be in the network; they are assumed to be lost one lease
+// length after their connections were reset. A holder that stops without a
+// release may have such calls, so its successor waits that long. A holder that
+// releases the lease has stopped sending and has recorded which of its calls
+// were answered, so it passes on the longest remaining wait, including its own.
+// A tenure shorter than the lease length passes on the remainder of it, so that
+// hosts don't alternate within that time.
 //
 //   DutyTenure tenure(lease_length);
 //   tenure.OnTaken(now, wait);
@@ -30,15 +31,18 @@
 
 // How a call of the holder ended.
 enum class CallEnd {
-  kAnswered,    // or no byte of it left this host
+  kAnswered,    // answered, or no byte of it was sent
   kUnanswered,  // it may still arrive
 };
 
+// Tracks the calls of one host while it holds the lease, and computes the wait
+// before its own first call and before those of its successor. Calls in flight
+// are counted across tenures of the same host.
 class DutyTenure {
  public:
   explicit DutyTenure(Duration lease_length) : lease_length(lease_length) {}
 
-  // This host holds the lease, and calls of earlier holders may arrive for
+  // This host has acquired the lease; calls of earlier holders may arrive for
   // `wait` from now.
   void OnTaken(Instant now, Duration wait);
 
@@ -46,9 +50,10 @@
   uint64_t OnCallStarted(Instant now);
   void OnCallEnded(Instant now, uint64_t call, CallEnd end);
 
-  // The connections of all calls under way were reset.
+  // The connections of all calls in flight were reset.
   void OnCallsCancelled(Instant now);
 
+  // Whether calls may be sent now. Holding the lease is checked separately.
   bool MayAct(Instant now) const { return now >= this->act_from; }
 
   // Whether each call has ended.
@@ -62,7 +67,7 @@
   Instant act_from{};
   std::optional<Instant> first_call;  // of this tenure
   std::optional<Instant> last_unanswered;
-  std::set<uint64_t> calls;  // under way
+  std::set<uint64_t> calls;  // in flight
   uint64_t last_call = 0;
 };
 
--- a/packages/decisions/membership.cc
+++ b/packages/decisions/membership.cc
@@ -49,7 +49,7 @@
   }
   std::erase_if(this->records, [&](const auto& entry) {
     const Record& record = entry.second;
-    // Its address belongs to another host now, so it can't come back there.
+    // Its address belongs to another host now, so it can't return there.
     return !record.listed && taken.contains(record.peer.address) &&
            now - record.heard > this->options.suspect_after;
   });
@@ -69,8 +69,8 @@
     return Heard::kSuperseded;
   }
   if (incarnation > record.incarnation) {
-    // A first incarnation doesn't undo what the list says of it. A later one
-    // is a new process, which the list may not know of yet.
+    // The first known incarnation keeps the list's "leaving". A later one is a
+    // new process, which the list may not show yet.
     if (record.incarnation != 0) {
       record.leaving = false;
     }
@@ -79,8 +79,8 @@
   record.peer.host = host;
   record.peer.data_centre = data_centre;
   record.heard = now;
-  // Within one incarnation a host that said it leaves never returns: a "live"
-  // after that is an old message or the lagging list.
+  // Within one incarnation "leaving" is final: a "live" after it comes from a
+  // delayed message or the lagging list.
   record.leaving = leaving || (this->options.leaving_wins && record.leaving);
   return Heard::kCurrent;
 }
@@ -106,7 +106,7 @@
 HostState Membership::State(Instant now, const Record& record) const {
   const Duration silence = now - record.heard;
   const bool met = record.incarnation != 0;
-  // Hosts that this one has no business with are as the list says.
+  // Remote hosts without a link to this one have the state that is listed.
   if (!this->Local(record) && !record.expected && record.listed) {
     return record.leaving ? HostState::kLeaving : HostState::kLive;
   }
@@ -207,8 +207,8 @@
   std::vector<PeerHost> links;
   for (auto& [id, record] : this->records) {
     const bool want = wanted.contains(id);
-    // A distant host that was found silent is asked again after a while, and
-    // meanwhile the next one of its data centre is.
+    // A silent host of another data centre is retried only after `gone_after`;
+    // until then the next host of its data centre is linked instead.
     const bool rests =
         record.expected && now - record.heard <= this->options.gone_after;
     if (want && !std::exchange(record.expected, true)) {
--- a/packages/decisions/membership.h
+++ b/packages/decisions/membership.h
@@ -1,18 +1,26 @@
-// Who else is there: which entry hosts live, are suspected, are leaving or are
-// gone, and what follows from it for links, store watches and deputies.
+// Cluster membership: which ingress hosts are live, suspected, leaving or gone,
+// and which of them hold links, store watches and copies as a result.
 //
-// Three sources are weighed. What a host says itself, over its link, goes
-// first. The platform's host list lags, but knows hosts that nobody has met
-// yet. Silence makes a host suspected after a while, and gone after a longer
-// one.
+// Three sources are combined. Messages that a host sends over its link take
+// precedence. The platform's host list lags, but contains hosts that no host
+// has linked to yet. A host that sends nothing is suspected after
+// `suspect_after`, and gone after `gone_after`.
 //
-// No two hosts need agree on any of this. Authority rests on leases alone; a
-// wrong guess here costs a spare watch or a link too many.
+// Hosts need not agree on any of this. Authority rests on leases alone; a wrong
+// state here costs a redundant watch or link.
 //
 // Index
-//   PeerHost, ListedHost       a host, and a line of the platform's list
-//   HostState, Member          what is known of one host
-//   MembershipOptions, Membership
+//   PeerHost, ListedHost            a host, and a line of the platform's list
+//   HostState, Member               the state of one host
+//   SenderStatus                    whether a sender's message is current
+//   MembershipOptions, Membership   the states of all hosts
+//
+//   Membership membership({.self = self, .incarnation = incarnation});
+//   membership.OnHostList(now, list);
+//   membership.OnHostMessage(now, host, data_centre, incarnation, leaving);
+//   for (const PeerHost& peer : membership.Links(now)) {
+//     Connect(peer.address);
+//   }
 
 #pragma once
 
@@ -28,7 +36,7 @@
 
 namespace hickorystand {
 
-// An entry host and where its peers reach it.
+// An ingress host and the address at which its peers reach it.
 struct PeerHost {
   HostId host;
   DataCentreId data_centre;
@@ -45,27 +53,25 @@
   auto operator<=>(const ListedHost&) const = default;
 };
 
-// How a host stands.
 enum class HostState {
   kLive,
-  kSuspected,  // not heard of for a while; still counted as there
-  kLeaving,    // finishes what it has; nothing new may rest on it
+  kSuspected,  // silent for `suspect_after`; still counts as a member
+  kLeaving,    // finishes its requests; gets no new responsibilities
   kGone,
 };
 
 const char* HostStateName(HostState state);
 
-// What is known of another host.
+// Another host and its state.
 struct Member {
   PeerHost peer;
-  uint64_t incarnation = 0;  // 0: never heard from
+  uint64_t incarnation = 0;  // 0: no message received yet
   HostState state = HostState::kLive;
-  bool flapping = false;  // comes and goes; nothing is entrusted to it
+  bool flapping = false;  // its link breaks often; gets no responsibilities
 
   auto operator<=>(const Member&) const = default;
 };
 
-// How a Membership is made.
 struct MembershipOptions {
   PeerHost self;
   uint64_t incarnation = 0;
@@ -74,23 +80,24 @@
   // A host whose link broke this often within the window is flapping.
   int flap_limit = 3;
   Duration flap_window = std::chrono::seconds(60);
-  // Test switch: without it a late "live" undoes "leaving".
+  // False only in tests: a delayed "live" message then undoes "leaving".
   bool leaving_wins = true;
 };
 
-// What a message's sender turned out to be.
+// The status of a message's sender.
 enum class Heard {
-  kCurrent,     // the incarnation known, or a newer one
+  kCurrent,     // the latest known incarnation, or a newer one
   kSuperseded,  // an earlier incarnation, or a second process with the same id
-  kSelf,        // another process bears this host's own id
+  kSelf,        // another process has this host's own id
 };
 
-// How many hosts of a data centre watch the store and talk to the other data
-// centres: one, and one to step in.
+// The number of hosts of a data centre that watch the store and link to the
+// other data centres: one, and one spare.
 inline constexpr size_t kRepresentatives = 2;
 inline constexpr size_t kNoRank = SIZE_MAX;
 
-// What one host believes of the others.
+// One host's view of the other hosts. It does no I/O: pass it the events and
+// the current time, and query it after each of them.
 class Membership {
  public:
   explicit Membership(MembershipOptions options);
@@ -98,8 +105,8 @@
   // The platform's list, as read now. It may lag and may name this host.
   void OnHostList(Instant now, const std::vector<ListedHost>& list);
 
-  // A host was heard from over its link. Its digest is to be dropped unless
-  // the answer is kCurrent.
+  // A message of a host arrived over its link. The caller must drop the host's
+  // digest unless the result is kCurrent.
   Heard OnHeard(Instant now,
                 const HostId& host,
                 const DataCentreId& data_centre,
@@ -109,41 +116,42 @@
   // The link to a host broke.
   void OnLinkDown(Instant now, const HostId& host);
 
-  // This host is leaving, so that nothing is entrusted to it any more.
+  // This host is leaving: EligibleHosts() no longer includes it.
   void StartDrain() { this->draining = true; }
 
-  // Whether a process with a newer incarnation bears this host's id. This one
-  // was replaced without noticing and should drain.
+  // Whether a process with a newer incarnation has this host's id. This process
+  // was replaced and should drain.
   bool Superseded() const { return this->superseded; }
 
-  // Every other host that isn't gone, by id. Forgets those long gone.
+  // Every other host that isn't gone, by id. Erases the records of hosts that
+  // are gone and not on the platform's list.
   std::vector<Member> Members(Instant now);
 
-  // How a host stands; kGone if it isn't known.
+  // The state of a host; kGone if it is unknown.
   HostState StateOf(Instant now, const HostId& host) const;
 
-  // The hosts of a data centre fit to be entrusted with something, by rising
-  // id, with this host among them unless it drains.
+  // The hosts of a data centre that may get responsibilities: live and not
+  // flapping, by rising id. Includes this host unless it drains.
   std::vector<HostId> Fit(Instant now, const DataCentreId& data_centre) const;
 
   // The hosts that hold the store's watches for a data centre and its links to
-  // others: the lowest ids. Choosing the lease's holder was weighed; but while
-  // the platform is down nobody holds one, and the links are needed most.
+  // others: the lowest ids. The lease's holder isn't used instead because there
+  // is none while the platform is down, when the links are needed most.
   std::vector<HostId> Representatives(Instant now,
                                       const DataCentreId& data_centre) const;
 
-  // This host's place among its data centre's representatives; kNoRank if it
-  // isn't one. Those with a rank hold the store's watches.
+  // This host's index among its data centre's representatives; kNoRank if it
+  // isn't one. Hosts with a rank hold the store's watches.
   size_t Rank(Instant now) const;
 
-  // Who keeps a copy of what the coordinator holds: the lowest id besides it,
-  // or an empty id when there is nobody else.
+  // The host that keeps a copy of the coordinator's data: the eligible host
+  // with the lowest id other than the coordinator, or an empty id.
   HostId Deputy(Instant now, const HostId& coordinator) const;
 
   // The hosts that this one should be linked to now: every host of its data
   // centre, and, if it is a representative, the one of the same rank in each
-  // other data centre. Joining each rank with its like needs half the links
-  // and still leaves a way when one host of a pair is lost.
+  // other data centre. Linking only equal ranks needs half the links and still
+  // leaves a path when one host of a pair is lost.
   std::vector<PeerHost> Links(Instant now);
 
  private:
@@ -152,11 +160,11 @@
     uint64_t incarnation = 0;
     bool listed = false;
     bool leaving = false;
-    // The platform's list says that it leaves; counts for the incarnation
+    // The platform's list reports it as leaving; applies to the incarnation
     // that was known then.
     bool listed_leaving = false;
-    bool expected = false;  // a link to it is wanted, so silence tells
-    Instant heard{};        // last sign of life, or when it was first expected
+    bool expected = false;  // a link is wanted, so silence means a failure
+    Instant heard{};        // last message, or when it was listed or wanted
     std::deque<Instant> breaks;
   };
 
