--- a/packages/decisions/usage.cc
+++ b/packages/decisions/usage.cc
@@ -77,7 +77,7 @@
          count.requests >= 0;
 }
 
-// Adds to a window what one source has counted beyond the last one.
+// Adds to a window a source's growth since the last window.
 void CountSource(UsageWindow& window,
                  const UsageSource& source,
                  const AccountUsage& counts) {
@@ -85,7 +85,7 @@
   for (const auto& [account, count] : counts) {
     const UsageCount reached = Find(counted, account).Highest(count);
     const UsageCount grown = reached.Minus(Find(counted, account));
-    assert(NeverNegative(grown) && "a window never takes usage back");
+    assert(NeverNegative(grown) && "usage counted in a window never decreases");
     if (grown != kNothing) {
       UsageCount& figure = window.figures[account];
       figure = figure.Plus(grown);
--- a/packages/decisions/usage.h
+++ b/packages/decisions/usage.h
@@ -1,16 +1,22 @@
-// What client accounts have used: counted at each entry host, copied to
-// others, and closed into windows by the data centre's coordinator.
+// Usage accounting per client account: counted at each ingress host, copied to
+// other hosts, and closed into windows by the data centre's coordinator.
 //
-// Counters only grow and belong to one incarnation of one host, so a copy that
-// is heard twice, late or out of order changes nothing: the higher count wins.
-// A window's figures are what the counters have grown by since the last window.
-// Usage that is heard of late falls into a later window.
+// Counters only grow and belong to one incarnation of one host, so merging a
+// copy is idempotent: a copy that arrives twice, late or out of order changes
+// nothing, as the higher count wins. A window's figures are the growth of the
+// counters since the last window. Usage that arrives late is part of a later
+// window.
 //
 // Index
-//   UsageCount, UsageCopy   cumulative counters and how they travel
+//   UsageCount, UsageCopy   cumulative counters, and their form in messages
 //   UsageMeter              counts on one host
-//   UsageLedger             the highest counts heard of, of all hosts
-//   UsageWindow             a closed window and what it counted up to
+//   UsageLedger             the highest counts received, of all hosts
+//   UsageWindow             a closed window and the counts it reached
+//
+//   UsageMeter meter({.host = host, .incarnation = incarnation});
+//   meter.Add(account, {.prompt_tokens = 100, .requests = 1});
+//   ledger.Merge(meter.Copy());
+//   window = CloseUsageWindow(last, ledger, last.window + 1, fencing);
 
 #pragma once
 
@@ -40,7 +46,7 @@
 
 using AccountUsage = std::map<AccountId, UsageCount>;
 
-// Who counted: one run of one host's process.
+// The origin of counters: one run of one host's process.
 struct UsageSource {
   HostId host;
   uint64_t incarnation = 0;
@@ -62,14 +68,14 @@
 std::string EncodeUsageCopy(const UsageCopy& copy);
 Result<UsageCopy> DecodeUsageCopy(const std::string& text);
 
-// Counts what this host served. Send a Copy() to the coordinator and to one
-// other host every second or so: what is lost when the host dies is what it
-// served since.
+// Counts the usage served by this host. Send a Copy() to the coordinator and to
+// one other host about every second: a crash loses the usage since the last
+// copy.
 class UsageMeter {
  public:
   explicit UsageMeter(UsageSource source);
 
-  // Adds a request's share. Counters never shrink, which is asserted.
+  // Adds a request's usage, which must not be negative.
   void Add(const AccountId& account, const UsageCount& used);
 
   // Everything counted so far.
@@ -79,17 +85,17 @@
   UsageCopy copy;
 };
 
-// The highest counts heard of, by source. Every host keeps one, so that
-// whoever becomes coordinator next starts from what it heard.
+// The highest counts received, by source. Every host keeps one, so that the
+// next coordinator has the usage that it received before.
 class UsageLedger {
  public:
-  // Takes a copy in, at first or second hand, in any order.
+  // Merges a copy from its source or from another host, in any order.
   void Merge(const UsageCopy& copy);
 
-  // Everything known, to be sent on to a new coordinator.
+  // All counts, to be sent to a new coordinator.
   std::vector<UsageCopy> Copies() const;
 
-  // Drops sources that no window needs any more.
+  // Erases a source that no window needs any more.
   void Forget(const UsageSource& source);
 
   const SourceUsage& Sources() const { return this->sources; }
@@ -102,26 +108,27 @@
 struct UsageWindow {
   int64_t window = 0;
   int64_t fencing = 0;   // of the coordinator that closed it
-  AccountUsage figures;  // what is reported
-  SourceUsage counted;   // up to where each source is in this or an earlier one
-  // The highest incarnation of each host that counts no more. What is heard of
-  // it, or of earlier ones, is too late: without this a forgotten source that
-  // somebody still tells of would be counted a second time from the start.
+  AccountUsage figures;  // the usage to report
+  SourceUsage counted;   // each source's counts in this and earlier windows
+  // The highest ended incarnation of each host. Copies of it and of earlier
+  // incarnations are ignored: otherwise a source that was dropped, but that
+  // another host still sends, would be counted again from zero.
   std::map<HostId, uint64_t> ended;
 
   bool operator==(const UsageWindow&) const = default;
 };
 
-// Closes the window after `last`: figures are what the ledger has beyond what
-// was counted already. A ledger that lags behind counts nothing twice. Sources
-// in `ending` are counted for the last time, with earlier ones of their hosts.
+// Closes the window after `last`: its figures are the ledger's counts beyond
+// those already counted. With a ledger that lags behind, nothing is counted
+// twice. Sources in `ending`, and earlier incarnations of their hosts, are
+// counted for the last time.
 UsageWindow CloseUsageWindow(const UsageWindow& last,
                              const UsageLedger& ledger,
                              int64_t window,
                              int64_t fencing,
                              const std::vector<UsageSource>& ending = {});
 
-// Where a data centre's windows stand.
+// The key of a data centre's window in the store.
 std::string UsageWindowKey(const DataCentreId& data_centre, int64_t window);
 
 // The window as JSON.
--- a/packages/decisions/usage_windows.cc
+++ b/packages/decisions/usage_windows.cc
@@ -7,8 +7,8 @@
 namespace hickorystand {
 namespace {
 
-// Windows that are kept: with windows of 5 s and reports due 10 s after their
-// end, four are open at a time.
+// The number of windows that are kept. With windows of 5 s that are reported
+// 10 s after their end, up to four are open at a time.
 constexpr int64_t kKeptWindows = 8;
 
 void WriteCounts(JsonWriter& out, const WindowCounts& counts) {
--- a/packages/decisions/usage_windows.h
+++ b/packages/decisions/usage_windows.h
@@ -1,8 +1,21 @@
-// Requests that began, counted by window of true time and client account, on
-// one host and as other hosts tell of it.
+// Counts of started requests by time window and client account, of this host
+// and, from their copies, of the other hosts. Windows are aligned to the time
+// that the hosts agree on (see FleetClock), not to one host's time of day.
 //
-// Counters of one run of a host only grow, so a copy that comes late, twice or
-// out of order changes nothing: the higher count wins.
+// Counters of one run of a host only grow, so merging a copy is idempotent: a
+// copy that arrives late, twice or out of order changes nothing, as the higher
+// count wins.
+//
+// Index
+//   WindowCounts, WindowCopy   counts, and their form in messages
+//   UsageWindows               the counts of all hosts
+//
+//   UsageWindows windows(self, std::chrono::seconds(5));
+//   windows.OnRequestStarted(unix_ms, account);
+//   windows.Merge(copy_of_other_host);
+//   if (windows.HasCompleteCounts(host, window)) {
+//     Report(window, windows.Total(window));
+//   }
 
 #pragma once
 
@@ -20,10 +33,10 @@
 // Requests by account.
 using WindowCounts = std::map<AccountId, int64_t>;
 
-// What one run of a host counted, and up to when.
+// The counts of one run of a host.
 struct WindowCopy {
   UsageSource source;
-  int64_t until_ms = 0;  // Unix time up to which it is complete
+  int64_t until_ms = 0;  // Unix time up to which the counts are complete
   std::map<int64_t, WindowCounts> windows;
 
   bool operator==(const WindowCopy&) const = default;
@@ -33,33 +46,36 @@
 std::string EncodeWindowCopy(const WindowCopy& copy);
 Result<WindowCopy> DecodeWindowCopy(const std::string& text);
 
-// Counts as JSON, as they stand in the record of a window.
+// Counts as JSON, as in the stored record of a window.
 std::string EncodeWindowCounts(const WindowCounts& counts);
 Result<WindowCounts> DecodeWindowCounts(const std::string& text);
 
+// Keeps the counts of the windows that may still be reported. Times are Unix
+// milliseconds; a window's number is its start divided by its length.
 class UsageWindows {
  public:
   UsageWindows(UsageSource self, Duration window)
       : self(std::move(self)), window(window) {}
 
-  // A request of an account began here.
+  // A request of an account started on this host.
   void OnBegun(int64_t unix_ms, const AccountId& account);
 
-  // What this host counted in the windows that may still be reported.
+  // This host's counts, complete up to `unix_ms`. Drops windows that are too
+  // old to be reported.
   WindowCopy OwnCopy(int64_t unix_ms);
 
-  // Everything known, of all hosts and also of their earlier runs. A host that
-  // has just started is told it: it may be the one that reports, and what was
-  // counted by runs that have ended stands nowhere else.
+  // The counts of all hosts, including their earlier runs. Sent to a host that
+  // has just started: it may become the one that reports, and the counts of
+  // runs that have ended aren't stored anywhere else.
   std::vector<WindowCopy> AllCopies() const;
 
-  // What another host counted.
+  // Merges the counts of another host.
   void Merge(const WindowCopy& copy);
 
   // The sum over all hosts.
   WindowCounts Total(int64_t window) const;
 
-  // Whether a host's counts up to the end of a window are known.
+  // Whether a host's counts are complete up to the end of a window.
   bool Knows(const HostId& host, int64_t window) const;
 
   int64_t WindowAt(int64_t unix_ms) const;
