--- a/packages/decisions/coordinator.cc
+++ b/packages/decisions/coordinator.cc
@@ -68,8 +68,9 @@
                     .fencing = this->fencing,
                     .holder = this->options.lease.host,
                     .incarnation = this->options.lease.incarnation};
-  const bool fresh = this->orders.emplace(id, OpenOrder{.order = order}).second;
-  assert(fresh && "an order's id is never used twice");
+  const bool inserted =
+      this->orders.emplace(id, OpenOrder{.order = order}).second;
+  assert(inserted && "an order's id is never used twice");
   this->Drive(now, out);
   return id;
 }
@@ -90,9 +91,9 @@
                                const StoreReply& reply,
                                CoordinatorActions& out) {
   this->TickLease(now, out);
-  std::vector<LeaseAction> wanted;
-  if (this->lease.OnStoreReply(now, tag, reply, wanted)) {
-    this->FollowLease(now, wanted, out);
+  std::vector<LeaseAction> lease_actions;
+  if (this->lease.OnStoreReply(now, tag, reply, lease_actions)) {
+    this->FollowLease(now, lease_actions, out);
   } else if (this->call && this->call->tag == tag) {
     const Call::Handler handler = this->call->handler;
     this->call.reset();
@@ -106,19 +107,19 @@
                                  const Result<int64_t>& lease,
                                  CoordinatorActions& out) {
   this->TickLease(now, out);
-  std::vector<LeaseAction> wanted;
-  this->lease.OnLeaseGranted(now, tag, lease, wanted);
-  this->FollowLease(now, wanted, out);
+  std::vector<LeaseAction> lease_actions;
+  this->lease.OnLeaseGranted(now, tag, lease, lease_actions);
+  this->FollowLease(now, lease_actions, out);
 }
 
 void Coordinator::OnLeaseRenewed(Instant now,
                                  CallTag tag,
-                                 const Result<Duration>& left,
+                                 const Result<Duration>& remaining,
                                  CoordinatorActions& out) {
   this->TickLease(now, out);
-  std::vector<LeaseAction> wanted;
-  this->lease.OnLeaseRenewed(now, tag, left, wanted);
-  this->FollowLease(now, wanted, out);
+  std::vector<LeaseAction> lease_actions;
+  this->lease.OnLeaseRenewed(now, tag, remaining, lease_actions);
+  this->FollowLease(now, lease_actions, out);
 }
 
 void Coordinator::OnOrderReply(Instant now,
@@ -195,16 +196,16 @@
   this->lease.SetRank(std::ranges::distance(
       this->listed.begin(),
       this->listed.lower_bound(this->options.lease.host)));
-  const auto note = [this, now](const HostId& holder) {
+  const auto record_if_unlisted = [this, now](const HostId& holder) {
     if (!this->listed.contains(holder)) {
       this->left.try_emplace(holder, now);
     }
   };
   for (const auto& [id, open] : this->orders) {
-    note(open.order.holder);
+    record_if_unlisted(open.order.holder);
   }
   for (const auto& [number, open] : this->reports) {
-    note(open.open.holder);
+    record_if_unlisted(open.open.holder);
   }
   std::erase_if(this->left, [this](const auto& entry) {
     return this->listed.contains(entry.first);
@@ -252,10 +253,10 @@
 // Performs the steps that are due. Called at the end of every event.
 void Coordinator::Drive(Instant now, CoordinatorActions& out) {
   if (this->phase == Phase::kIdle && this->stopping) {
-    std::vector<LeaseAction> wanted;
-    this->lease.Retire(wanted);
+    std::vector<LeaseAction> lease_actions;
+    this->lease.Retire(lease_actions);
     this->phase = Phase::kReleased;
-    this->FollowLease(now, wanted, out);
+    this->FollowLease(now, lease_actions, out);
   }
   if (this->retry != nullptr && !this->call && now >= this->retry_at) {
     (this->*std::exchange(this->retry, nullptr))(now, out);
@@ -280,15 +281,15 @@
 // Called first at every event: a host that was suspended past the end of its
 // lease must end the tenure before it does anything else.
 void Coordinator::TickLease(Instant now, CoordinatorActions& out) {
-  std::vector<LeaseAction> wanted;
-  this->lease.OnTick(now, wanted);
-  this->FollowLease(now, wanted, out);
+  std::vector<LeaseAction> lease_actions;
+  this->lease.OnTick(now, lease_actions);
+  this->FollowLease(now, lease_actions, out);
 }
 
 void Coordinator::FollowLease(Instant now,
-                              const std::vector<LeaseAction>& wanted,
+                              const std::vector<LeaseAction>& lease_actions,
                               CoordinatorActions& out) {
-  std::ranges::for_each(wanted, [&out](const LeaseAction& action) {
+  std::ranges::for_each(lease_actions, [&out](const LeaseAction& action) {
     std::visit([&out](const auto& each) { out.emplace_back(each); }, action);
   });
   if (this->fencing != 0 && this->lease.Fencing() != this->fencing) {
@@ -349,7 +350,8 @@
   if (!this->options.record_takeover) {
     return;
   }
-  const auto take = [this, now](auto& intent, Stage& stage, bool to_platform) {
+  const auto take_over = [this, now](auto& intent, Stage& stage,
+                                     bool to_platform) {
     const bool foreign = intent.fencing != this->fencing;
     if (foreign && stage == Stage::kRecorded &&
         (!to_platform || this->HolderStopped(now, intent.fencing, intent.holder,
@@ -361,10 +363,10 @@
     }
   };
   for (auto& [id, open] : this->orders) {
-    take(open.order, open.stage, open.order.ToPlatform());
+    take_over(open.order, open.stage, open.order.ToPlatform());
   }
   for (auto& [number, open] : this->reports) {
-    take(open.open, open.stage, true);
+    take_over(open.open, open.stage, true);
   }
 }
 
@@ -374,10 +376,10 @@
                              const HostId& holder,
                              uint64_t incarnation,
                              bool to_platform) const {
-  const bool mine = fencing == this->fencing;
-  return mine || (!this->options.record_takeover &&
-                  (!to_platform ||
-                   this->HolderStopped(now, fencing, holder, incarnation)));
+  const bool own = fencing == this->fencing;
+  return own || (!this->options.record_takeover &&
+                 (!to_platform ||
+                  this->HolderStopped(now, fencing, holder, incarnation)));
 }
 
 void Coordinator::SendDue(Instant now, CoordinatorActions& out) {
@@ -464,27 +466,27 @@
   if (latest != this->incarnations.end() && latest->second > incarnation) {
     return true;
   }
-  const auto gone = this->left.find(holder);
-  return gone != this->left.end() &&
-         now - gone->second >= this->options.unlisted_for;
+  const auto unlisted = this->left.find(holder);
+  return unlisted != this->left.end() &&
+         now - unlisted->second >= this->options.unlisted_for;
 }
 
 // Records when each source's counters last grew, and drops sources that ended
 // long ago.
 void Coordinator::AgeUsage(Instant now) {
-  const auto note = [this, now](const auto& entry) {
+  const auto update_age = [this, now](const auto& entry) {
     SourceAge& age = this->ages[entry.first];
     const int64_t total = TotalOf(entry.second);
     if (age.total < total) {
       age = {.total = total, .since = now};
     }
   };
-  std::ranges::for_each(this->ledger.Sources(), note);
-  std::ranges::for_each(this->last_window.counted, note);
+  std::ranges::for_each(this->ledger.Sources(), update_age);
+  std::ranges::for_each(this->last_window.counted, update_age);
   std::erase_if(this->ages, [this, now](const auto& entry) {
-    const bool old =
+    const bool expired =
         now - entry.second.since >= kForgetFactor * this->options.forget_after;
-    if (old && this->SourceIsOver(now, entry.first)) {
+    if (expired && this->SourceIsOver(now, entry.first)) {
       this->ledger.Forget(entry.first);
       return true;
     }
--- a/packages/decisions/coordinator.h
+++ b/packages/decisions/coordinator.h
@@ -215,7 +215,7 @@
                       CoordinatorActions& out);
   void OnLeaseRenewed(Instant now,
                       CallTag tag,
-                      const Result<Duration>& left,
+                      const Result<Duration>& remaining,
                       CoordinatorActions& out);
 
   // Replies to orders and usage reports.
@@ -310,7 +310,7 @@
   void Drive(Instant now, CoordinatorActions& out);
   void TickLease(Instant now, CoordinatorActions& out);
   void FollowLease(Instant now,
-                   const std::vector<LeaseAction>& wanted,
+                   const std::vector<LeaseAction>& lease_actions,
                    CoordinatorActions& out);
   void Begin(Instant now, CoordinatorActions& out);
   void End(Instant now, CoordinatorActions& out);
--- a/packages/decisions/coordinator_record.cc
+++ b/packages/decisions/coordinator_record.cc
@@ -54,9 +54,9 @@
   if (record != nullptr && record->create_revision == this->fencing) {
     return true;
   }
-  std::vector<LeaseAction> wanted;
-  this->lease.Lose(now, wanted);
-  this->FollowLease(now, wanted, out);
+  std::vector<LeaseAction> lease_actions;
+  this->lease.Lose(now, lease_actions);
+  this->FollowLease(now, lease_actions, out);
   return false;
 }
 
@@ -278,10 +278,10 @@
                              .holder = this->options.lease.host,
                              .incarnation = this->options.lease.incarnation});
   this->closing = std::move(window);
-  const int64_t old = number - this->options.kept_windows;
-  if (old > 0 && !this->reports.contains(old)) {
-    transaction.then.push_back(
-        StoreDelete(UsageWindowKey(this->options.lease.data_centre, old)));
+  const int64_t expired_window = number - this->options.kept_windows;
+  if (expired_window > 0 && !this->reports.contains(expired_window)) {
+    transaction.then.push_back(StoreDelete(
+        UsageWindowKey(this->options.lease.data_centre, expired_window)));
   }
 }
 
--- a/packages/decisions/duty_tenure.cc
+++ b/packages/decisions/duty_tenure.cc
@@ -32,13 +32,13 @@
   if (!this->Idle()) {
     return this->lease_length;
   }
-  Instant free = std::max(now, this->act_from);
+  Instant clear_at = std::max(now, this->act_from);
   for (const auto& since : {this->first_call, this->last_unanswered}) {
     if (since) {
-      free = std::max(free, *since + this->lease_length);
+      clear_at = std::max(clear_at, *since + this->lease_length);
     }
   }
-  return free - now;
+  return clear_at - now;
 }
 
 }  // namespace hickorystand
--- a/packages/decisions/lease.cc
+++ b/packages/decisions/lease.cc
@@ -142,27 +142,27 @@
 
 bool Lease::OnLeaseRenewed(Instant now,
                            CallTag tag,
-                           const Result<Duration>& left,
+                           const Result<Duration>& remaining,
                            std::vector<LeaseAction>& out) {
   if (!this->call || this->call->tag != tag) {
     return false;
   }
-  const Instant asked = this->call->asked;
+  const Instant sent_at = this->call->asked;
   this->call.reset();
   if (!this->Held()) {
     return true;
   }
-  if (!left) {
-    if (left.error().kind == ErrorKind::kNotFound) {
+  if (!remaining) {
+    if (remaining.error().kind == ErrorKind::kNotFound) {
       this->Lose(now, out);
     }
     return true;  // any other failure: retried at the next tick
   }
-  this->counted_from = asked;
+  this->counted_from = sent_at;
   this->valid_until = std::max(
-      this->valid_until,
-      asked + std::min(*left, this->options.length) - this->options.margin);
-  this->next_call = asked + this->options.renew_every;
+      this->valid_until, sent_at + std::min(*remaining, this->options.length) -
+                             this->options.margin);
+  this->next_call = sent_at + this->options.renew_every;
   return true;
 }
 
--- a/packages/decisions/lease.h
+++ b/packages/decisions/lease.h
@@ -169,7 +169,7 @@
                       std::vector<LeaseAction>& out);
   bool OnLeaseRenewed(Instant now,
                       CallTag tag,
-                      const Result<Duration>& left,
+                      const Result<Duration>& remaining,
                       std::vector<LeaseAction>& out);
 
   // Revokes the lease and doesn't acquire it again.
--- a/packages/decisions/membership.cc
+++ b/packages/decisions/membership.cc
@@ -24,16 +24,16 @@
 
 void Membership::OnHostList(Instant now, const std::vector<ListedHost>& list) {
   std::set<HostId> listed;
-  std::set<SocketAddress> taken;
+  std::set<SocketAddress> listed_addresses;
   for (const auto& line : list) {
     listed.insert(line.peer.host);
-    taken.insert(line.peer.address);
+    listed_addresses.insert(line.peer.address);
     if (line.peer.host == this->options.self.host) {
       continue;
     }
-    const auto [where, fresh] = this->records.try_emplace(line.peer.host);
-    Record& record = where->second;
-    if (fresh || !record.listed) {
+    const auto [position, inserted] = this->records.try_emplace(line.peer.host);
+    Record& record = position->second;
+    if (inserted || !record.listed) {
       record.heard = std::max(record.heard, now);
     }
     record.peer = line.peer;
@@ -50,7 +50,7 @@
   std::erase_if(this->records, [&](const auto& entry) {
     const Record& record = entry.second;
     // Its address belongs to another host now, so it can't return there.
-    return !record.listed && taken.contains(record.peer.address) &&
+    return !record.listed && listed_addresses.contains(record.peer.address) &&
            now - record.heard > this->options.suspect_after;
   });
 }
@@ -105,7 +105,7 @@
 
 HostState Membership::State(Instant now, const Record& record) const {
   const Duration silence = now - record.heard;
-  const bool met = record.incarnation != 0;
+  const bool contacted = record.incarnation != 0;
   // Remote hosts without a link to this one have the state that is listed.
   if (!this->Local(record) && !record.expected && record.listed) {
     return record.leaving ? HostState::kLeaving : HostState::kLive;
@@ -114,7 +114,7 @@
       (!record.listed || record.leaving)) {
     return HostState::kGone;
   }
-  if (!record.listed && !met) {
+  if (!record.listed && !contacted) {
     return HostState::kGone;
   }
   if (record.leaving) {
@@ -199,9 +199,10 @@
     }
   }
   for (const auto& data_centre : others) {
-    const auto theirs = this->Representatives(now, data_centre);
-    if (rank != kNoRank && !theirs.empty()) {
-      wanted.insert(theirs[std::min(rank, theirs.size() - 1)]);
+    const auto representatives = this->Representatives(now, data_centre);
+    if (rank != kNoRank && !representatives.empty()) {
+      wanted.insert(
+          representatives[std::min(rank, representatives.size() - 1)]);
     }
   }
   std::vector<PeerHost> links;
@@ -209,11 +210,11 @@
     const bool want = wanted.contains(id);
     // A silent host of another data centre is retried only after `gone_after`;
     // until then the next host of its data centre is linked instead.
-    const bool rests =
+    const bool in_retry_delay =
         record.expected && now - record.heard <= this->options.gone_after;
     if (want && !std::exchange(record.expected, true)) {
       record.heard = std::max(record.heard, now);
-    } else if (!want && !this->Local(record) && !rests) {
+    } else if (!want && !this->Local(record) && !in_retry_delay) {
       record.expected = false;
     }
     if (want && record.peer.address.port != 0) {
--- a/packages/decisions/usage_windows.cc
+++ b/packages/decisions/usage_windows.cc
@@ -110,8 +110,8 @@
   known.until_ms = std::max(known.until_ms, copy.until_ms);
   for (const auto& [number, counts] : copy.windows) {
     for (const auto& [account, count] : counts) {
-      int64_t& mine = known.windows[number][account];
-      mine = std::max(mine, count);
+      int64_t& known_count = known.windows[number][account];
+      known_count = std::max(known_count, count);
     }
   }
 }
@@ -141,10 +141,10 @@
   for (auto& [source, copy] : this->copies) {
     copy.windows.erase(copy.windows.begin(), copy.windows.lower_bound(oldest));
   }
-  const int64_t silent_since = this->EndOf(oldest);
+  const int64_t expiry_ms = this->EndOf(oldest);
   std::erase_if(this->copies, [&](const auto& entry) {
     return entry.first != this->self && entry.second.windows.empty() &&
-           entry.second.until_ms < silent_since;
+           entry.second.until_ms < expiry_ms;
   });
 }
 
