--- a/packages/decisions/coordinator.cc
+++ b/packages/decisions/coordinator.cc
@@ -13,8 +13,8 @@
 
 constexpr std::string_view kPart = "coordinator";
 constexpr size_t kMaxArgumentBytes = 256;
-// The coordinator ends a source after forget_after; the others keep it longer,
-// so that whoever closes the next windows has heard of it.
+// The coordinator ends a source after `usage_retention`. The other hosts keep
+// it longer, so that the host that closes the next windows still has it.
 constexpr int64_t kForgetFactor = 2;
 
 int64_t TotalOf(const AccountUsage& counts) {
@@ -68,15 +68,16 @@
                     .fencing = this->fencing,
                     .holder = this->options.lease.host,
                     .incarnation = this->options.lease.incarnation};
-  const bool fresh = this->orders.emplace(id, OpenOrder{.order = order}).second;
-  assert(fresh && "an order's id is never used twice");
+  const bool inserted =
+      this->orders.emplace(id, OpenOrder{.order = order}).second;
+  assert(inserted && "an order's id is never used twice");
   this->Drive(now, out);
   return id;
 }
 
 void Coordinator::OnTick(Instant now, CoordinatorActions& out) {
   this->TickLease(now, out);
-  // A reply that never comes: what was written is read back.
+  // The reply is lost, so the record is read back.
   if (this->call && now - this->call->asked >= this->options.call_timeout) {
     this->call.reset();
     this->RetryLater(now, &Coordinator::ReadRecord);
@@ -90,9 +91,9 @@
                                const StoreReply& reply,
                                CoordinatorActions& out) {
   this->TickLease(now, out);
-  std::vector<LeaseAction> wanted;
-  if (this->lease.OnStoreReply(now, tag, reply, wanted)) {
-    this->FollowLease(now, wanted, out);
+  std::vector<LeaseAction> lease_actions;
+  if (this->lease.OnStoreReply(now, tag, reply, lease_actions)) {
+    this->FollowLease(now, lease_actions, out);
   } else if (this->call && this->call->tag == tag) {
     const Call::Handler handler = this->call->handler;
     this->call.reset();
@@ -106,19 +107,19 @@
                                  const Result<int64_t>& lease,
                                  CoordinatorActions& out) {
   this->TickLease(now, out);
-  std::vector<LeaseAction> wanted;
-  this->lease.OnLeaseGranted(now, tag, lease, wanted);
-  this->FollowLease(now, wanted, out);
+  std::vector<LeaseAction> lease_actions;
+  this->lease.OnLeaseGranted(now, tag, lease, lease_actions);
+  this->FollowLease(now, lease_actions, out);
 }
 
 void Coordinator::OnLeaseRenewed(Instant now,
                                  CallTag tag,
-                                 const Result<Duration>& left,
+                                 const Result<Duration>& remaining,
                                  CoordinatorActions& out) {
   this->TickLease(now, out);
-  std::vector<LeaseAction> wanted;
-  this->lease.OnLeaseRenewed(now, tag, left, wanted);
-  this->FollowLease(now, wanted, out);
+  std::vector<LeaseAction> lease_actions;
+  this->lease.OnLeaseRenewed(now, tag, remaining, lease_actions);
+  this->FollowLease(now, lease_actions, out);
 }
 
 void Coordinator::OnOrderReply(Instant now,
@@ -143,7 +144,7 @@
     case OrderReply::kRunning:
     case OrderReply::kNoReply:
     case OrderReply::kNotSent:
-      break;  // sent again when it is due
+      break;  // sent again at next_send
   }
   this->Drive(now, out);
 }
@@ -163,8 +164,8 @@
 void Coordinator::OnEndpointRestarted(Instant now,
                                       const EndpointId& endpoint,
                                       CoordinatorActions& out) {
-  // Not even an earlier holder's order ends here: this news may be older than
-  // a connection which that holder has to the endpoint's new process.
+  // This doesn't end an earlier holder's order either: the event may be older
+  // than a connection from that holder to the endpoint's new process.
   for (auto& [id, open] : this->orders) {
     if (open.order.endpoint == endpoint && open.stage == Stage::kSent) {
       open.next_send = now;
@@ -195,16 +196,16 @@
   this->lease.SetRank(std::ranges::distance(
       this->listed.begin(),
       this->listed.lower_bound(this->options.lease.host)));
-  const auto note = [this, now](const HostId& holder) {
+  const auto record_if_unlisted = [this, now](const HostId& holder) {
     if (!this->listed.contains(holder)) {
       this->left.try_emplace(holder, now);
     }
   };
   for (const auto& [id, open] : this->orders) {
-    note(open.order.holder);
+    record_if_unlisted(open.order.holder);
   }
   for (const auto& [number, open] : this->reports) {
-    note(open.open.holder);
+    record_if_unlisted(open.open.holder);
   }
   std::erase_if(this->left, [this](const auto& entry) {
     return this->listed.contains(entry.first);
@@ -249,13 +250,13 @@
   return open;
 }
 
-// One step of whatever is due. Called at the end of every event.
+// Performs the steps that are due. Called at the end of every event.
 void Coordinator::Drive(Instant now, CoordinatorActions& out) {
   if (this->phase == Phase::kIdle && this->stopping) {
-    std::vector<LeaseAction> wanted;
-    this->lease.Retire(wanted);
+    std::vector<LeaseAction> lease_actions;
+    this->lease.Retire(lease_actions);
     this->phase = Phase::kReleased;
-    this->FollowLease(now, wanted, out);
+    this->FollowLease(now, lease_actions, out);
   }
   if (this->retry != nullptr && !this->call && now >= this->retry_at) {
     (this->*std::exchange(this->retry, nullptr))(now, out);
@@ -277,18 +278,18 @@
   }
 }
 
-// First thing at every event: a host that slept through its lease must find
-// out before it does anything else.
+// Called first at every event: a host that was suspended past the end of its
+// lease must end the tenure before it does anything else.
 void Coordinator::TickLease(Instant now, CoordinatorActions& out) {
-  std::vector<LeaseAction> wanted;
-  this->lease.OnTick(now, wanted);
-  this->FollowLease(now, wanted, out);
+  std::vector<LeaseAction> lease_actions;
+  this->lease.OnTick(now, lease_actions);
+  this->FollowLease(now, lease_actions, out);
 }
 
 void Coordinator::FollowLease(Instant now,
-                              const std::vector<LeaseAction>& wanted,
+                              const std::vector<LeaseAction>& lease_actions,
                               CoordinatorActions& out) {
-  std::ranges::for_each(wanted, [&out](const LeaseAction& action) {
+  std::ranges::for_each(lease_actions, [&out](const LeaseAction& action) {
     std::visit([&out](const auto& each) { out.emplace_back(each); }, action);
   });
   if (this->fencing != 0 && this->lease.Fencing() != this->fencing) {
@@ -301,7 +302,7 @@
 
 void Coordinator::Begin(Instant now, CoordinatorActions& out) {
   assert(this->orders.empty() && this->reports.empty() &&
-         "a tenure starts from the record alone");
+         "a tenure starts from the stored record alone");
   this->fencing = this->lease.Fencing();
   this->next_order = 1;
   this->last_release.reset();
@@ -335,19 +336,22 @@
   }
 }
 
-// Takes over what earlier holders began: it is recorded as this tenure's before
-// it leaves again, so that the next successor knows whom to wait for. Without
-// that, one that began an order long ago would later take it for its own, while
-// the last to repeat it still stands between its check and the send.
+// Takes over the intents of earlier holders. They are recorded under this
+// tenure before they are sent again, so that the next successor can tell which
+// holder to wait for. Otherwise a host that recorded an order in an early
+// tenure would, as holder again, treat it as its own and send it, while the
+// last host that repeated it may still be between its check and the send.
 //
-// An order to an endpoint may be taken over at once, as the endpoint knows it
-// by its id. The platform must not hear from two hosts that both believe to be
-// in charge, so there the earlier holder must be known to have stopped.
+// An order to an endpoint may be taken over at once, as the endpoint
+// deduplicates it by its id. The platform must not get calls from two hosts
+// that both act as the holder, so for it the earlier holder must be known to
+// have stopped.
 void Coordinator::TakeOver(Instant now) {
   if (!this->options.record_takeover) {
     return;
   }
-  const auto take = [this, now](auto& intent, Stage& stage, bool to_platform) {
+  const auto take_over = [this, now](auto& intent, Stage& stage,
+                                     bool to_platform) {
     const bool foreign = intent.fencing != this->fencing;
     if (foreign && stage == Stage::kRecorded &&
         (!to_platform || this->HolderStopped(now, intent.fencing, intent.holder,
@@ -359,23 +363,23 @@
     }
   };
   for (auto& [id, open] : this->orders) {
-    take(open.order, open.stage, open.order.ToPlatform());
+    take_over(open.order, open.stage, open.order.ToPlatform());
   }
   for (auto& [number, open] : this->reports) {
-    take(open.open, open.stage, true);
+    take_over(open.open, open.stage, true);
   }
 }
 
-// Whether an intent is this tenure's to send.
+// Whether this tenure may send an intent.
 bool Coordinator::MaySendFor(Instant now,
                              int64_t fencing,
                              const HostId& holder,
                              uint64_t incarnation,
                              bool to_platform) const {
-  const bool mine = fencing == this->fencing;
-  return mine || (!this->options.record_takeover &&
-                  (!to_platform ||
-                   this->HolderStopped(now, fencing, holder, incarnation)));
+  const bool own = fencing == this->fencing;
+  return own || (!this->options.record_takeover &&
+                 (!to_platform ||
+                  this->HolderStopped(now, fencing, holder, incarnation)));
 }
 
 void Coordinator::SendDue(Instant now, CoordinatorActions& out) {
@@ -402,10 +406,11 @@
                         order.ToPlatform())) {
     return;
   }
-  assert(this->MayAct(now, this->fencing) && "no order leaves without lease");
+  assert(this->MayAct(now, this->fencing) &&
+         "no order is sent without the lease");
   assert((unrecorded || std::ranges::find(this->stored.orders, order) !=
                             this->stored.orders.end()) &&
-         "an order is recorded under its sender's name before it leaves");
+         "an order is recorded under its sender's name before it is sent");
   if (!unrecorded) {
     open.stage = Stage::kSent;
   }
@@ -429,7 +434,8 @@
                         true)) {
     return;
   }
-  assert(this->MayAct(now, this->fencing) && "no report leaves without lease");
+  assert(this->MayAct(now, this->fencing) &&
+         "no report is sent without the lease");
   assert(std::ranges::find(this->stored.windows, window) !=
              this->stored.windows.end() &&
          "a window is recorded under its sender's name before it is reported");
@@ -440,8 +446,8 @@
                                    .figures = open.window->figures});
 }
 
-// Whether the holder that last sent something is known to have stopped, so that
-// nothing of it can leave its host any more.
+// Whether the holder under which an intent is recorded is known to have
+// stopped, so that its host can't send anything of that tenure any more.
 bool Coordinator::HolderStopped(Instant now,
                                 int64_t fencing,
                                 const HostId& holder,
@@ -460,26 +466,27 @@
   if (latest != this->incarnations.end() && latest->second > incarnation) {
     return true;
   }
-  const auto gone = this->left.find(holder);
-  return gone != this->left.end() &&
-         now - gone->second >= this->options.unlisted_for;
+  const auto unlisted = this->left.find(holder);
+  return unlisted != this->left.end() &&
+         now - unlisted->second >= this->options.unlisted_for;
 }
 
-// Notes which sources still count, and drops those that were over long ago.
+// Records when each source's counters last grew, and drops sources that ended
+// long ago.
 void Coordinator::AgeUsage(Instant now) {
-  const auto note = [this, now](const auto& entry) {
+  const auto update_age = [this, now](const auto& entry) {
     SourceAge& age = this->ages[entry.first];
     const int64_t total = TotalOf(entry.second);
     if (age.total < total) {
       age = {.total = total, .since = now};
     }
   };
-  std::ranges::for_each(this->ledger.Sources(), note);
-  std::ranges::for_each(this->last_window.counted, note);
+  std::ranges::for_each(this->ledger.Sources(), update_age);
+  std::ranges::for_each(this->last_window.counted, update_age);
   std::erase_if(this->ages, [this, now](const auto& entry) {
-    const bool old =
+    const bool expired =
         now - entry.second.since >= kForgetFactor * this->options.forget_after;
-    if (old && this->SourceIsOver(now, entry.first)) {
+    if (expired && this->SourceIsOver(now, entry.first)) {
       this->ledger.Forget(entry.first);
       return true;
     }
@@ -487,7 +494,8 @@
   });
 }
 
-// Whether a source's process is gone and has counted nothing for long.
+// Whether a source's process is gone and its counters haven't grown for
+// `usage_retention`.
 bool Coordinator::SourceIsOver(Instant now, const UsageSource& source) const {
   const auto age = this->ages.find(source);
   const auto latest = this->incarnations.find(source.host);
@@ -505,8 +513,9 @@
     if (open.stage == Stage::kFinished) {
       return false;
     }
-    // What earlier holders began is finished first, also after its takeover: a
-    // copy of theirs may still arrive between this tenure's own orders.
+    // Orders of earlier holders are finished first, also after their takeover:
+    // an earlier holder's copy may still arrive between this tenure's own
+    // orders.
     const bool earlier =
         !open.order.id.Text().starts_with(std::to_string(this->fencing) + "-");
     return (to_platform && open.order.ToPlatform() && earlier) ||
--- a/packages/decisions/membership.cc
+++ b/packages/decisions/membership.cc
@@ -24,16 +24,16 @@
 
 void Membership::OnHostList(Instant now, const std::vector<ListedHost>& list) {
   std::set<HostId> listed;
-  std::set<SocketAddress> taken;
+  std::set<SocketAddress> listed_addresses;
   for (const auto& line : list) {
     listed.insert(line.peer.host);
-    taken.insert(line.peer.address);
+    listed_addresses.insert(line.peer.address);
     if (line.peer.host == this->options.self.host) {
       continue;
     }
-    const auto [where, fresh] = this->records.try_emplace(line.peer.host);
-    Record& record = where->second;
-    if (fresh || !record.listed) {
+    const auto [position, inserted] = this->records.try_emplace(line.peer.host);
+    Record& record = position->second;
+    if (inserted || !record.listed) {
       record.heard = std::max(record.heard, now);
     }
     record.peer = line.peer;
@@ -49,8 +49,8 @@
   }
   std::erase_if(this->records, [&](const auto& entry) {
     const Record& record = entry.second;
-    // Its address belongs to another host now, so it can't come back there.
-    return !record.listed && taken.contains(record.peer.address) &&
+    // Its address belongs to another host now, so it can't return there.
+    return !record.listed && listed_addresses.contains(record.peer.address) &&
            now - record.heard > this->options.suspect_after;
   });
 }
@@ -69,8 +69,8 @@
     return Heard::kSuperseded;
   }
   if (incarnation > record.incarnation) {
-    // A first incarnation doesn't undo what the list says of it. A later one
-    // is a new process, which the list may not know of yet.
+    // The first known incarnation keeps the list's "leaving". A later one is a
+    // new process, which the list may not show yet.
     if (record.incarnation != 0) {
       record.leaving = false;
     }
@@ -79,8 +79,8 @@
   record.peer.host = host;
   record.peer.data_centre = data_centre;
   record.heard = now;
-  // Within one incarnation a host that said it leaves never returns: a "live"
-  // after that is an old message or the lagging list.
+  // Within one incarnation "leaving" is final: a "live" after it comes from a
+  // delayed message or the lagging list.
   record.leaving = leaving || (this->options.leaving_wins && record.leaving);
   return Heard::kCurrent;
 }
@@ -105,8 +105,8 @@
 
 HostState Membership::State(Instant now, const Record& record) const {
   const Duration silence = now - record.heard;
-  const bool met = record.incarnation != 0;
-  // Hosts that this one has no business with are as the list says.
+  const bool contacted = record.incarnation != 0;
+  // Remote hosts without a link to this one have the state that is listed.
   if (!this->Local(record) && !record.expected && record.listed) {
     return record.leaving ? HostState::kLeaving : HostState::kLive;
   }
@@ -114,7 +114,7 @@
       (!record.listed || record.leaving)) {
     return HostState::kGone;
   }
-  if (!record.listed && !met) {
+  if (!record.listed && !contacted) {
     return HostState::kGone;
   }
   if (record.leaving) {
@@ -199,21 +199,22 @@
     }
   }
   for (const auto& data_centre : others) {
-    const auto theirs = this->Representatives(now, data_centre);
-    if (rank != kNoRank && !theirs.empty()) {
-      wanted.insert(theirs[std::min(rank, theirs.size() - 1)]);
+    const auto representatives = this->Representatives(now, data_centre);
+    if (rank != kNoRank && !representatives.empty()) {
+      wanted.insert(
+          representatives[std::min(rank, representatives.size() - 1)]);
     }
   }
   std::vector<PeerHost> links;
   for (auto& [id, record] : this->records) {
     const bool want = wanted.contains(id);
-    // A distant host that was found silent is asked again after a while, and
-    // meanwhile the next one of its data centre is.
-    const bool rests =
+    // A silent host of another data centre is retried only after `gone_after`;
+    // until then the next host of its data centre is linked instead.
+    const bool in_retry_delay =
         record.expected && now - record.heard <= this->options.gone_after;
     if (want && !std::exchange(record.expected, true)) {
       record.heard = std::max(record.heard, now);
-    } else if (!want && !this->Local(record) && !rests) {
+    } else if (!want && !this->Local(record) && !in_retry_delay) {
       record.expected = false;
     }
     if (want && record.peer.address.port != 0) {
