--- a/packages/decisions/account_limit.h
+++ b/packages/decisions/account_limit.h
@@ -1,4 +1,4 @@
-// The limit of a client account, as the operator sets it.
+// AccountLimit: the rate limit of a client account, as set by the operator.
 
 #pragma once
 
@@ -9,17 +9,17 @@
 
 namespace hickorystand {
 
-// What a limit counts.
+// The unit that a limit counts.
 enum class LimitUnit { kRequests, kTokens };
 
-// The limit of one account over all hosts.
+// The limit of one account over all hosts, as a token bucket.
 struct AccountLimit {
-  double rate = 0;   // units a second
+  double rate = 0;   // units per second
   double burst = 0;  // units
   LimitUnit unit = LimitUnit::kRequests;
-  int64_t plain_tokens = 1;  // counted for a request that states no tokens
+  int64_t plain_tokens = 1;  // cost of a request without token counts
 
-  // What a request counts as.
+  // The cost of a request in units.
   int64_t CostOf(int64_t prompt_tokens, int64_t output_tokens) const {
     if (this->unit == LimitUnit::kRequests) {
       return 1;
--- a/packages/decisions/account_limiter.cc
+++ b/packages/decisions/account_limiter.cc
@@ -32,15 +32,15 @@
          this->options.tolerance_used * tolerance;
 }
 
-// The part of all tokens that this host and the hosts linked with it receive.
+// The fraction of all tokens that this host and its linked hosts receive.
 double AccountLimiter::Linked() const {
   return std::min(1.0,
                   this->each * static_cast<double>(this->peers.size() + 1));
 }
 
-// The tokens up to which this host's part of a bucket fills. The pooled part
-// shrinks with the hosts that are linked, so that homes on several sides of a
-// partition don't each hold all of it.
+// The size of this host's part of a bucket. The pooled part shrinks with the
+// number of linked hosts, so that the homes on the sides of a network partition
+// don't each hold all of it.
 double AccountLimiter::Capacity(const Bucket& bucket) const {
   const double full = this->Full(bucket.limit);
   switch (this->options.pooling) {
@@ -117,7 +117,7 @@
     }
     this->Count(bucket, now);
     if (bucket.limit.unit != limit.unit) {
-      bucket.tokens = 0;  // tokens and debts count in the old unit
+      bucket.tokens = 0;  // tokens and debts are in the old unit
     }
     bucket.limit = limit;
     bucket.tokens = std::min(bucket.tokens, this->Capacity(bucket));
@@ -126,8 +126,8 @@
 }
 
 void AccountLimiter::SetShare(Instant now, double own, double each) {
-  // A host that doesn't know how many holders there are still pools what the
-  // others give it.
+  // Without the number of holders, this host still pools the tokens that it is
+  // granted; the linked hosts stand in for the holders.
   const double counted =
       each > 0 ? each : 1 / static_cast<double>(this->peers.size() + 1);
   if (own == this->own && counted == this->each) {
@@ -168,7 +168,7 @@
   }
 }
 
-// The tokens that must be there for a request to pass.
+// The tokens that the bucket must hold to admit a request.
 double AccountLimiter::Needed(const Bucket& bucket,
                               const LimitAsk& ask,
                               Instant now) const {
@@ -185,7 +185,7 @@
   return needed + kept;
 }
 
-// Takes the tokens of a request if they are there.
+// Takes the tokens of a request if the bucket holds enough.
 bool AccountLimiter::Spend(Bucket& bucket,
                            const LimitAsk& ask,
                            Instant now) const {
@@ -197,7 +197,7 @@
   return true;
 }
 
-// Whether enough tokens can come in before the wait is over.
+// Whether enough tokens may arrive before the wait ends.
 bool AccountLimiter::WorthWaiting(const Bucket& bucket,
                                   const LimitAsk& ask,
                                   Instant now) const {
@@ -235,8 +235,8 @@
   if (bucket.queue.empty() && this->Spend(bucket, waiting.ask, now)) {
     return this->Granted(bucket);
   }
-  // A host that was asked as the home but isn't by its own list of hosts has no
-  // one to ask in turn.
+  // The sender takes this host for the home, but by this host's own list it is
+  // not. It refuses instead of forwarding the request.
   if (!waiting.from.Empty() && !this->IsHome(bucket)) {
     return this->Refused(bucket, waiting.ask, "not the account's home", now);
   }
@@ -253,8 +253,8 @@
   return {};
 }
 
-// Gets tokens for a request that waits: from the home, or, at the home, from
-// all others.
+// Requests tokens for a waiting request: from the home or, at the home, from
+// all other hosts.
 void AccountLimiter::AskHome(Bucket& bucket, Waiting& waiting, Instant now) {
   if (this->IsHome(bucket)) {
     if (this->PullDue(bucket, now, 1)) {
@@ -283,8 +283,8 @@
   return {.granted = true, .home = bucket.home, .held = bucket.tokens};
 }
 
-// Refused requests are told to come back one after the other, as fast as
-// tokens come in.
+// Refuses a request. The retry-after times of refused requests are staggered at
+// the rate at which tokens arrive, so that the retries don't all come at once.
 LimitVerdict AccountLimiter::Refused(Bucket& bucket,
                                      const LimitAsk& ask,
                                      std::string_view reason,
@@ -341,7 +341,8 @@
   }
 }
 
-// Tokens that this host can give to one that pools them.
+// The tokens that this host can grant to a pull. A home with recent demand
+// keeps half of its bucket.
 double AccountLimiter::Spare(const Bucket& bucket, Instant now) const {
   const bool busy = now - bucket.demanded < this->options.shortage_memory;
   const bool keeps = this->IsHome(bucket) && busy;
@@ -379,7 +380,8 @@
   this->Decide(waiting, {.granted = true});
 }
 
-// A grant counts once, and only as the answer to a want that is still known.
+// Accepts a grant only as the first reply to a pending want of this host, so
+// that a repeated or late message adds no tokens.
 void AccountLimiter::OnGrant(Instant now,
                              const HostId& from,
                              const TokenGrant& grant) {
@@ -423,8 +425,8 @@
   this->Advance(bucket, now);
 }
 
-// Grants what the tokens now suffice for, and ends what has waited too long or
-// waits for nothing.
+// Admits the waiting requests that the tokens now suffice for, and refuses
+// those that waited too long or can't get enough tokens in time.
 void AccountLimiter::Advance(Bucket& bucket, Instant now) {
   std::deque<Waiting> rest;
   for (Waiting& waiting : std::exchange(bucket.queue, {})) {
@@ -460,7 +462,7 @@
                     this->options.hasty_pull, usual);
 }
 
-// Whether so large a part of the time between two pulls has passed.
+// Whether this fraction of the pull interval has passed since the last pull.
 bool AccountLimiter::PullDue(const Bucket& bucket,
                              Instant now,
                              double part) const {
@@ -511,7 +513,7 @@
       low.push_back(&bucket);
     }
   }
-  // Accounts that are nearly due are pulled along, in the same messages.
+  // Accounts whose pull is nearly due are pulled too, in the same messages.
   const auto due = [&](double part) {
     return [this, now, part](const Bucket* bucket) {
       return this->PullDue(*bucket, now, part);
--- a/packages/decisions/account_limiter.h
+++ b/packages/decisions/account_limiter.h
@@ -1,31 +1,35 @@
-// How much of each client account's limit this host may let through.
+// AccountLimiter: this host's part of the fleet-wide limit of each client
+// account.
 //
 // An account has one token bucket for the whole fleet: a rate and a burst. The
-// bucket is split among the hosts, each of which fills its part at its share of
-// the rate (limit_shares.h). Tokens are only ever moved: a host that gives some
-// away has them no longer, and what is lost on the way is lost. So all hosts
-// together never let through more than the account's bucket allows, whichever
-// messages are late, lost or repeated and whoever is cut off from whom.
+// bucket is split among the hosts, and each refills its part at its share of
+// the rate (limit_shares.h). Tokens are moved between hosts, never copied: the
+// sender subtracts them before it sends the grant, and tokens in a lost message
+// are lost. So all hosts together never admit more than the account's bucket
+// allows, even if messages are delayed, lost or repeated or the network is
+// partitioned.
 //
-// To let any host serve an account's whole demand, tokens are pooled: the
-// account's home, one of the linked hosts by rendezvous hashing, pulls the
-// tokens of the others when it runs low, and they ask it for what a request
-// needs. Hosts that disagree about the home only pool less well.
+// Tokens are pooled so that any host can serve an account's whole demand. The
+// account's home, one of the linked hosts chosen by rendezvous hashing, pulls
+// tokens from the others when it runs low; the others request from it what a
+// request needs. If hosts disagree about the home, pooling is less effective,
+// but the limit still holds.
 //
 //   AccountLimiter limiter(self, options);
-//   limiter.SetLimits(now, limits); limiter.SetShare(now, own, each);
+//   limiter.SetLimits(now, limits);
+//   limiter.SetShare(now, own_share, holder_share);
 //   limiter.SetPeers(now, linked);
-//   if (const auto verdict = limiter.Take(now, ask)) { ... }
-//   else ...                       // TakeEffects() tells it later
-//   limiter.OnWant / OnGrant;      // messages of other hosts
-//   limiter.Tick(now);             // every 20 ms or so
+//   if (const auto decision = limiter.Take(now, request)) { ... }
+//   else ...                       // TakeEffects() returns it later
+//   limiter.OnWant / OnGrant;      // messages from other hosts
+//   limiter.Tick(now);             // about every 20 ms
 //
 // Index
-//   TokenWant, TokenGrant         what hosts tell each other
-//   LimitAsk, LimitVerdict        a request, and whether it may go on
-//   LimitEffects                  what to send and to tell
-//   LimitOptions, LimitPooling    how tokens move
-//   AccountLimiter                one host's part
+//   TokenWant, TokenGrant          messages between hosts
+//   LimitRequest, LimitDecision    a request and its admission decision
+//   LimitEffects                   messages to send and decisions to deliver
+//   LimitOptions, LimitPooling     how tokens are pooled
+//   AccountLimiter                 one host's buckets
 
 #pragma once
 
@@ -43,28 +47,28 @@
 
 namespace hickorystand {
 
-// Asks another host for tokens.
+// Requests tokens from another host.
 struct TokenWant {
-  int64_t number = 0;  // of the asking process, never used twice
+  int64_t number = 0;  // chosen by the sending process, never reused
   AccountId account;
   int64_t tokens = 0;
   int64_t priority = 0;
-  bool pull = false;  // the sender pools tokens; any number of them will do
+  bool pull = false;  // the sender pools tokens; any part may be granted
 
   auto operator<=>(const TokenWant&) const = default;
 };
 
-// The answer: the tokens are the receiver's from now on.
+// The reply to a TokenWant. The tokens now belong to the receiver.
 struct TokenGrant {
   int64_t number = 0;  // of the want
   AccountId account;
   int64_t tokens = 0;
-  Duration retry_after{};  // where there are none
+  Duration retry_after{};  // if no tokens were granted
 
   auto operator<=>(const TokenGrant&) const = default;
 };
 
-// A request that is to run.
+// A request that needs tokens.
 struct LimitAsk {
   int64_t number = 0;  // chosen by the caller
   AccountId account;
@@ -74,7 +78,7 @@
   auto operator<=>(const LimitAsk&) const = default;
 };
 
-// Whether a request may run, and what decided it.
+// Whether a request is admitted, and the data behind the decision.
 struct LimitVerdict {
   bool granted = false;
   Duration retry_after{};
@@ -85,7 +89,8 @@
   bool operator==(const LimitVerdict&) const = default;
 };
 
-// What is to be sent to whom, and which waiting requests are decided.
+// Messages to send, by receiver, and decisions for waiting requests, by number
+// of the request.
 struct LimitEffects {
   std::vector<std::pair<HostId, TokenWant>> wants;
   std::vector<std::pair<HostId, TokenGrant>> grants;
@@ -98,119 +103,130 @@
 
 // How hosts share an account's bucket.
 enum class LimitPooling {
-  kNone,   // equal parts, never moved
-  kPeers,  // a host that runs low asks all others
-  kHome,   // one host for each account pools the tokens
+  kNone,   // equal parts; tokens are not moved
+  kPeers,  // a host that runs low pulls tokens from all others
+  kHome,   // one host per account pools the tokens
 };
 
 struct LimitOptions {
   LimitPooling pooling = LimitPooling::kHome;
-  // What the operator tolerates beyond rate x window + burst in any window: a
-  // part of that, and units of each account.
+  // Tolerance beyond rate x window + burst in any window: `overage` is a
+  // fraction of that amount, `slack` a number of units per account.
   Duration window = std::chrono::seconds(8);
   double overage = 0;
   double slack = 0;
-  // Part of the tolerance that buckets hold beside the burst, so that demand
-  // that swings around the rate isn't refused. The rest is left for hosts that
-  // are cut off from each other.
+  // Fraction of the tolerance that is added to the bucket size, so that demand
+  // that fluctuates around the rate isn't refused. The rest covers hosts that
+  // are partitioned from each other.
   double tolerance_used = 0.4;
-  // Part of the burst that hosts hold by themselves; the home holds the rest.
+  // Fraction of the bucket that is split among all hosts; the home holds the
+  // rest.
   double local_part = 0.5;
-  // A burst is at least so much of the rate, so that no tokens are lost
-  // between two pulls.
+  // The bucket holds at least this time's worth of the rate, so that it does
+  // not overflow and lose tokens between two pulls.
   Duration least_burst = std::chrono::milliseconds(250);
-  // The longest that a request waits for the home's answer, and there for
-  // tokens of other hosts.
+  // Maximum wait of a request for the home's reply, and maximum wait at the
+  // home for tokens from other hosts.
   Duration wait = std::chrono::milliseconds(80);
   Duration home_wait = std::chrono::milliseconds(40);
-  // Between two pulls: most of the time in which the others' parts fill, within
-  // bounds; while requests wait, at least so much for each host that is asked.
+  // The interval between pulls is `pull_fill_fraction` of the time in which
+  // the other hosts' parts fill, clamped to the minimum and maximum. While
+  // requests wait or the bucket is in debt, it is the urgent interval per peer
+  // times the number of peers, at least the urgent interval and at most the
+  // usual one.
   double pull_part = 0.8;
   Duration shortest_pull = std::chrono::milliseconds(100);
   Duration longest_pull = std::chrono::seconds(1);
   Duration hasty_pull = std::chrono::milliseconds(30);
   Duration hasty_pull_per_peer = std::chrono::milliseconds(2);
-  // Tokens are pulled below this part of the bucket, and a request that needs
-  // more than it passes there and leaves a debt.
+  // The home pulls tokens while it holds less than this fraction of its bucket.
+  // At the home, a request that costs more than this fraction needs only this
+  // much to be admitted, and leaves the bucket in debt.
   double low_part = 0.75;
-  // While an account runs short, a request leaves tokens to more urgent ones:
-  // so many times its own cost for each step of priority, up to a part of the
+  // During a shortage, a request must leave a reserve for more urgent requests:
+  // this multiple of its own cost per priority step, up to a fraction of the
   // bucket.
   double kept_per_step = 2;
   double most_kept = 0.2;
   Duration shortage_memory = std::chrono::seconds(1);
-  Duration idle_after = std::chrono::seconds(2);  // no pulls without demand
+  // No pulls for an account that had no demand for this long.
+  Duration idle_after = std::chrono::seconds(2);
   Duration pull_timeout = std::chrono::seconds(1);
   Duration longest_retry = std::chrono::seconds(2);
   Duration shortest_retry = std::chrono::milliseconds(50);
-  // A host that was refused asks the home no more for so long, and one that
-  // gave all its tokens away is taken to have none.
+  // For this long a host sends no requests to a home that refused it, and a
+  // peer that granted less than was pulled counts as empty.
   Duration refusal_memory = std::chrono::milliseconds(50);
   int64_t first_number = 1;
 
   auto operator<=>(const LimitOptions&) const = default;
 };
 
+// Decides which requests this host admits under the accounts' limits. All calls
+// take the current time. After each call the caller carries out TakeEffects().
 class AccountLimiter {
  public:
   explicit AccountLimiter(HostId self, const LimitOptions& options = {});
 
-  // The limits in force; an account without one is not limited. One that comes
-  // with the first call starts empty, since an earlier process of this host may
-  // have spent its tokens.
+  // Sets the limits in force; an account without one is not limited. The
+  // buckets of the first call start empty, since an earlier process of this
+  // host may have spent their tokens.
   void SetLimits(Instant now, const AccountLimits& limits);
 
-  // The parts of each limit that this host and each holder may let through.
+  // Sets the fractions of each limit that this host and each holder may admit.
+  // `each` is 0 while the number of holders is unknown.
   void SetShare(Instant now, double own, double each);
 
-  // The hosts that take part and are linked.
+  // Sets the linked hosts that take part.
   void SetPeers(Instant now, const std::vector<HostId>& linked);
 
-  // Takes a request's tokens. Nothing: the verdict follows as an effect.
+  // Takes a request's tokens. Returns nothing if the request has to wait; the
+  // decision then follows in LimitEffects::decided.
   std::optional<LimitVerdict> Take(Instant now, const LimitAsk& ask);
 
-  // A request that waits for its verdict is over.
+  // Drops a waiting request; no decision follows for it.
   void Cancel(int64_t number);
 
-  // Tokens of a request that surely hasn't run.
+  // Returns the tokens of a request that certainly did not run.
   void GiveBack(Instant now, const AccountId& account, int64_t cost);
 
   void OnWant(Instant now, const HostId& from, const TokenWant& want);
   void OnGrant(Instant now, const HostId& from, const TokenGrant& grant);
 
-  // Ends waits that are over and pulls tokens that are needed.
+  // Ends expired waits and pulls tokens that are needed.
   void Tick(Instant now);
 
   LimitEffects TakeEffects() { return std::exchange(this->effects, {}); }
 
-  // Tokens of an account at this host; negative: a debt.
+  // Tokens of an account at this host; negative if in debt.
   double Held(Instant now, const AccountId& account) const;
   const HostId& HomeOf(const AccountId& account) const;
 
  private:
-  // A request that waits for tokens, of this host or another one.
+  // A request of this or another host that waits for tokens.
   struct Waiting {
     LimitAsk ask;
-    HostId from;  // empty: of this host
+    HostId from;  // empty: this host
     Instant until{};
-    int64_t want = 0;  // asked of the home
+    int64_t want = 0;  // number of the TokenWant sent to the home; 0: none
   };
 
   struct Bucket {
     AccountId account;
     AccountLimit limit;
     double tokens = 0;
-    Instant at{};  // when the tokens were counted
+    Instant at{};  // when `tokens` was last brought up to date
     HostId home;
-    Instant demanded{};       // last
-    Instant short_until{};    // tokens ran out lately
-    Instant refused_until{};  // by the home
-    Instant backlog_until{};  // refused requests come back until then
+    Instant demanded{};       // last request for tokens
+    Instant short_until{};    // end of the shortage after a refusal
+    Instant refused_until{};  // no requests to the home until then
+    Instant backlog_until{};  // retries of refused requests are spread to it
     Instant pulled{};
-    std::map<HostId, Instant> emptied;  // peers that gave all they had, when
+    std::map<HostId, Instant> emptied;  // when a peer last granted all it had
     std::deque<Waiting> queue;
   };
 
+  // A TokenWant without a reply yet.
   struct Pending {
     HostId to;
     TokenWant want;
--- a/packages/decisions/claims.cc
+++ b/packages/decisions/claims.cc
@@ -13,14 +13,14 @@
 namespace hickorystand {
 namespace {
 
-// How many duplicate windows a shared lease lasts; see OnLeaseGranted().
+// Length of a shared lease in duplicate windows; see OnLeaseGranted().
 constexpr int64_t kLeaseWindows = 3;
 
-// How often grants that were never used are looked for.
+// How often expired grants of requests that were never sent are removed.
 constexpr Duration kPruneEvery = std::chrono::seconds(1);
 
-// Feeds a field and its length, so that two fields can't be read as another
-// pair whose texts run together to the same bytes.
+// Hashes a field preceded by its length, so that two different pairs of fields
+// never concatenate to the same bytes.
 void Feed(GChecksum* sum, std::string_view text) {
   const std::string length = std::to_string(text.size()) + ":";
   g_checksum_update(sum, reinterpret_cast<const guchar*>(length.data()),
@@ -29,7 +29,7 @@
                     static_cast<gssize>(text.size()));
 }
 
-// Fixed width, so that tokens sort by age.
+// Hexadecimal of fixed width, so that tokens sort by age.
 std::string Padded(uint64_t number) {
   std::array<char, 24> text;
   std::snprintf(text.data(), text.size(), "%016llx",
@@ -58,14 +58,15 @@
 }
 
 ClaimBook::ClaimBook(ClaimOptions options) : options(std::move(options)) {
-  assert(!this->options.host.Empty() && "claims need their host's id");
+  assert(!this->options.host.Empty() && "ClaimOptions::host is empty");
 }
 
 void ClaimBook::Claim(Instant now,
                       const ClaimRequest& request,
                       ClaimActions& out) {
-  assert(!request.key.empty() && "make the key with ClaimKey()");
-  assert(request.window > Duration::zero() && "a claim must last some time");
+  assert(!request.key.empty() && "the key is empty; make it with ClaimKey()");
+  assert(request.window > Duration::zero() &&
+         "the duplicate window must be positive");
   ++this->counts.claims;
   if (!this->options.claim_before_send) {
     this->granted[request.request] = {.key = request.key,
@@ -150,9 +151,10 @@
   auto& [window, shared] = *found;
   shared.call = 0;
   if (lease) {
-    // Lasts three windows from when it was asked for and is used for the first,
-    // so that every record stays for two at least: a request may be sent again
-    // for a window, and then lie unread on a host that stands still.
+    // The lease lasts three windows from its request and takes new records
+    // only in the first, so every record exists for at least two: a caller may
+    // repeat a request for one window, and the repeat may then sit unread on a
+    // stalled host.
     shared.lease = *lease;
     shared.usable_until = shared.asked + window;
   } else {
@@ -161,7 +163,8 @@
   this->OnTick(now, out);
 }
 
-// Without a lease nothing was sent to the store, so nothing is recorded.
+// Refuses the claims of a window whose lease request failed. Claims that were
+// never sent have no record; those that may have one are retried.
 void ClaimBook::RefuseUnsent(Instant now, Duration window, ClaimActions& out) {
   std::vector<std::string> refused;
   for (auto& [token, claim] : this->waiting) {
@@ -179,7 +182,7 @@
   }
 }
 
-// Whether there is a lease to bind the claim to; asks for one if there isn't.
+// Whether there is a usable lease for the window; requests one otherwise.
 bool ClaimBook::HasLease(Instant now, Duration window, ClaimActions& out) {
   SharedLease& shared = this->leases[window];
   if (shared.lease != 0 && now < shared.usable_until) {
@@ -195,8 +198,8 @@
   return false;
 }
 
-// The next claims to ask for: the oldest of those that are due, and of those
-// with the same key the first alone, as a transaction may put a key only once.
+// Selects the oldest due claims for a transaction, only one per key, as a
+// transaction may put a key only once.
 ClaimBook::Batch ClaimBook::NextBatch(Instant now, ClaimActions& out) {
   std::set<std::string> keys;
   for (const auto& [token, claim] : this->waiting) {
@@ -256,7 +259,7 @@
   for (const std::string& token : batch) {
     const auto found = this->waiting.find(token);
     if (found == this->waiting.end()) {
-      continue;  // answered as unknown meanwhile; its clean-up is under way
+      continue;  // answered as unknown meanwhile; its clean-up is scheduled
     }
     Waiting& claim = found->second;
     claim.in_flight = false;
@@ -270,16 +273,17 @@
         break;
       case StoreOutcome::kNotApplied:
         if (!claim.perhaps_recorded) {
-          this->leases[claim.request.window] = {};  // it may have expired
+          // An expired lease makes the store refuse the transaction.
+          this->leases[claim.request.window] = {};
           this->Answer(token, ClaimResult::kUnavailable, out);
         } else {
           claim.next_try = now + this->options.retry_every;
         }
         break;
       case StoreOutcome::kUnknown:
-        // Asked again with the same token: the record tells what became of
-        // the first attempt. Assuming failure would let the request run twice
-        // or, told "not run", its repeat be refused.
+        // Retried with the same token: the record shows whether the first
+        // attempt took effect. Assuming failure would let the request run
+        // twice, or report it as not run and then refuse its repeat.
         claim.perhaps_recorded = true;
         claim.last_lost = claim.last_sent;
         claim.next_try = now + this->options.retry_every;
@@ -288,14 +292,14 @@
   }
 }
 
-// One of the batch's keys existed already, so none was created. The records
-// tell this claim's own part.
+// Handles one claim of a batch that created nothing because one of its keys
+// existed already. The returned records show whether it was this claim's key.
 void ClaimBook::SettleWrite(Waiting& claim,
                             const StoreReply& reply,
                             ClaimActions& out) {
   const StoreRecord* record = FindRecord(reply, claim.request.key);
   if (record == nullptr) {
-    return;  // free: another key was in the way; goes with the next batch
+    return;  // another key of the batch existed; retried in the next batch
   }
   const std::string token = claim.token;
   if (record->value == token) {
@@ -316,7 +320,7 @@
                            .valid_until =
                                claim.first_sent + claim.request.window / 2})
           .second;
-  assert(fresh && "a request is granted once; Forget() it when it was sent");
+  assert(fresh && "a request is granted once; call OnSent() when it was sent");
 }
 
 void ClaimBook::Answer(const std::string& token,
@@ -326,14 +330,14 @@
   assert(claim && "a claim is answered once");
   const Waiting& answered = claim.mapped();
   assert((result != ClaimResult::kUnavailable || !answered.perhaps_recorded) &&
-         "unavailable says that surely nothing is recorded");
+         "kUnavailable means that certainly no record exists");
   out.emplace_back(
       AnswerClaim{.request = answered.request.request, .result = result});
 }
 
-// Claims whose time is up are answered with what is certain. A record that may
-// be there although nobody will use it would have the caller's repeat refused;
-// it is looked for and removed.
+// Answers claims whose deadline has passed: kUnknown if a record may exist,
+// else kUnavailable. Such a record would cause the caller's repeat to be
+// refused although the request was never sent, so a clean-up deletes it.
 void ClaimBook::ExpireDue(Instant now, ClaimActions& out) {
   if (now >= this->next_prune) {
     this->next_prune = now + kPruneEvery;
@@ -368,8 +372,8 @@
   }
 }
 
-// Removes one record that nobody will use, if it bears the claim's own token:
-// somebody else's later claim of the same key must stay.
+// Deletes one unused record if it holds the claim's own token: a later claim of
+// the same key by another request must stay.
 void ClaimBook::SendCleanUps(Instant now, ClaimActions& out) {
   const auto due = std::ranges::find_if(this->clean_ups, [now](const auto& e) {
     return !e.second.in_flight && now >= e.second.next_try;
@@ -402,7 +406,7 @@
   clean_up.in_flight = false;
   const bool answered = reply.outcome == StoreOutcome::kThen ||
                         reply.outcome == StoreOutcome::kOtherwise;
-  // Gone for good only when no attempt to create it can take effect any more.
+  // Done only when no attempt to create the record can still take effect.
   if (answered && clean_up.asked - clean_up.last_sent >= this->options.settle) {
     this->clean_ups.erase(found);
   }
--- a/packages/decisions/claims.h
+++ b/packages/decisions/claims.h
@@ -1,27 +1,28 @@
-// Claims: what makes a non-idempotent request run at most once.
+// Claims: at-most-once execution of non-idempotent requests.
 //
-// Before such a request leaves for an endpoint, its host creates a record under
-// the request's key in the key-value service. Whoever creates it may send the
-// request, once; everybody else who comes with the same key is told that it was
-// sent before. A claim is never taken over: when its host dies the outcome is
-// unknown, and is said to be.
+// Before such a request is sent to an endpoint, its host creates a record under
+// the request's key in the key-value service. The host that creates the record
+// may send the request once; any other request with the same key is refused as
+// a duplicate. A claim is never taken over: if its host fails, the outcome of
+// the request is reported as unknown.
 //
-// Claims that come up together go in one transaction: it creates all records,
-// or none and tells which are there. A lost reply is cured by sending the same
-// transaction again, as each claim bears a token of its own: a record with that
-// token is an earlier attempt that took effect.
+// Concurrent claims are batched into one transaction, which either creates all
+// records or creates none and returns the existing ones. After a lost reply the
+// claims are sent again. This is safe because each claim has a unique token: a
+// record with that token was created by an earlier attempt.
 //
-// Records are bound to leases shared by all claims of a period, so that the
-// service removes them by itself after the duplicate window of their service.
+// Records are attached to leases that all claims of a period share, so that the
+// service deletes them after the duplicate window of their service.
 //
-//   Claim -> [batch] -> RunTransaction -> AnswerClaim -> MaySend -> Forget
+//   Claim -> [batch] -> RunTransaction -> AnswerClaim -> MaySend -> OnSent
 //                                                    \-> Withdraw (not sent)
 //
 // Index
-//   ClaimKey        what makes two requests the same
-//   ClaimRequest    a request that wants to run
-//   ClaimOptions    how the book is set
-//   ClaimBook       the state machine, one per host
+//   ClaimKey                    the key that identifies duplicate requests
+//   ClaimRequest, AnswerClaim   a claim and its result
+//   ClaimAction                 a call or a result for the caller to carry out
+//   ClaimOptions, ClaimCounts   options and counters
+//   ClaimManager                the state machine, one per host
 
 #pragma once
 
@@ -41,26 +42,27 @@
 
 namespace hickorystand {
 
-// The key of a request: two requests of one account with the same
-// Idempotency-Key are the same, and without that header those with the same
-// path and body. A hash, as neither belongs into the key-value service.
+// Returns the key of a request. Two requests of one account have the same key
+// if they have the same Idempotency-Key or, without that header, the same path
+// and body. The key holds a hash, so that no request content is stored in the
+// key-value service.
 std::string ClaimKey(const ServiceId& service,
                      const AccountId& account,
                      std::string_view idempotency_key,
                      std::string_view path,
                      std::string_view body);
 
-// A request that wants to run.
+// A request to be claimed.
 struct ClaimRequest {
   RequestId request;
-  std::string key;                             // of ClaimKey()
+  std::string key;                             // from ClaimKey()
   Duration window = std::chrono::minutes(10);  // Service::duplicate_window
-  Instant deadline{};                          // an answer is wanted by then
+  Instant deadline{};                          // the claim is answered by then
 
   bool operator==(const ClaimRequest&) const = default;
 };
 
-// The answer to a claim.
+// The result of a claim.
 struct AnswerClaim {
   RequestId request;
   ClaimResult result = ClaimResult::kUnavailable;
@@ -71,27 +73,26 @@
 using ClaimAction = std::variant<RunTransaction, GrantLease, AnswerClaim>;
 using ClaimActions = std::vector<ClaimAction>;
 
-// How claims are made.
 struct ClaimOptions {
   HostId host;
   uint64_t incarnation = 0;
-  // At most one transaction in this time. A claim that comes alone goes at
-  // once; those that come meanwhile share the next one.
+  // Minimum time between transactions. A single claim is sent immediately;
+  // claims made within the interval share the next transaction.
   Duration batch_every = std::chrono::milliseconds(10);
   Duration retry_every = std::chrono::milliseconds(200);
-  // How long a transaction may still take effect after it was sent. A record
-  // that must go is looked for until then.
+  // How long after sending a transaction may still take effect. The clean-up
+  // of a record is retried until then.
   Duration settle = std::chrono::seconds(5);
-  int64_t max_batch = 40;        // keys in a transaction; the store takes 128
+  int64_t max_batch = 40;        // keys per transaction; the store allows 128
   int64_t max_in_flight = 8;     // transactions
   int64_t max_waiting = 4096;    // claims
-  int64_t max_clean_ups = 4096;  // further ones are left to their lease
+  int64_t max_clean_ups = 4096;  // beyond it, records stay until lease expiry
 
-  // Off only in mutation tests: grant without asking the store.
+  // False only in mutation tests: claims are granted without a store record.
   bool claim_before_send = true;
 };
 
-// What the book has done, for metrics and tests.
+// Counters for metrics and tests.
 struct ClaimCounts {
   int64_t claims = 0;
   int64_t transactions = 0;
@@ -100,31 +101,35 @@
   bool operator==(const ClaimCounts&) const = default;
 };
 
-// The claims of one host.
+// The claims of one host. The caller carries out the actions that are appended
+// to `out`: it executes RunTransaction and GrantLease, passes the replies to
+// OnStoreReply and OnLeaseGranted, and forwards each AnswerClaim to its
+// request.
 class ClaimBook {
  public:
   explicit ClaimBook(ClaimOptions options);
 
-  // Wants to run a request. Answered by AnswerClaim, perhaps at once.
+  // Claims a request. AnswerClaim follows, possibly in this call.
   void Claim(Instant now, const ClaimRequest& request, ClaimActions& out);
 
-  // Whether a granted request may be sent now; ask in the very step that hands
-  // its bytes to a socket. A host that slept for longer than half the duplicate
-  // window no longer may, as its record may be about to expire.
+  // Whether a granted request may be sent now. Call it in the same step that
+  // writes the request to a socket. False once half the duplicate window has
+  // passed, e.g. on a host that was suspended, as the record may expire soon.
   bool MaySend(Instant now, const RequestId& request) const;
 
-  // The request was sent, whatever comes of it. Its record stays.
+  // Call when the request was sent, whatever its outcome. Its record stays.
   void Forget(const RequestId& request);
 
-  // The request was granted and surely no byte of it left: its record is
-  // removed, so that the caller may send it again.
+  // Call when a granted request was certainly not sent, not even in part.
+  // Removes its record, so that the caller may send the request again.
   void Withdraw(Instant now, const RequestId& request, ClaimActions& out);
 
   // Call every few milliseconds while Busy().
   void OnTick(Instant now, ClaimActions& out);
   bool Busy() const;
 
-  // Whether each claim was answered, and then sent or withdrawn for good.
+  // Whether every claim was answered, every granted request was sent or
+  // withdrawn, and no clean-up is pending.
   bool Settled() const { return !this->Busy() && this->granted.empty(); }
 
   // Replies of the key-value service.
@@ -140,19 +145,19 @@
   const ClaimCounts& Counts() const { return this->counts; }
 
  private:
-  // A claim that isn't answered yet.
+  // A claim without a result yet.
   struct Waiting {
     ClaimRequest request;
     std::string token;
     Instant first_sent{};
     Instant last_sent{};
-    Instant last_lost{};  // when an attempt whose reply was lost was sent
+    Instant last_lost{};  // send time of the last attempt without a reply
     Instant next_try{};
     bool in_flight = false;
     bool perhaps_recorded = false;  // an attempt's reply was lost
   };
 
-  // A claim that was granted and neither sent nor cancelled yet.
+  // A granted claim whose request was neither sent nor withdrawn yet.
   struct Granted {
     std::string key;
     std::string token;
@@ -160,21 +165,21 @@
     Instant valid_until{};
   };
 
-  // A record that must go if it is there.
+  // A record to be deleted if it exists.
   struct CleanUp {
     std::string key;
     std::string token;
-    Instant last_sent{};  // when the record was last asked for
+    Instant last_sent{};  // send time of the last attempt to create it
     Instant next_try{};
     bool in_flight = false;
     Instant asked{};
   };
 
-  // The lease that claims of one window length are bound to at present.
+  // The current lease of the claims with one window length.
   struct SharedLease {
     int64_t lease = 0;
     Instant usable_until{};
-    CallTag call = 0;  // of the grant under way; 0: none
+    CallTag call = 0;  // of the lease request in flight; 0: none
     Instant asked{};
   };
 
@@ -198,7 +203,7 @@
 
   ClaimOptions options;
   ClaimCounts counts;
-  std::map<std::string, Waiting> waiting;  // by token, which sorts by age
+  std::map<std::string, Waiting> waiting;  // by token, oldest first
   std::map<RequestId, Granted> granted;
   std::map<std::string, CleanUp> clean_ups;  // by token
   std::map<Duration, SharedLease> leases;    // by window
