--- a/packages/decisions/limit_shares.cc
+++ b/packages/decisions/limit_shares.cc
@@ -42,7 +42,9 @@
         kStateNames, std::string_view(line).substr(0, space), &StateName::name);
     if (space == std::string::npos || space + 1 == line.size() ||
         named == kStateNames.end()) {
-      return Fail(ErrorKind::kBadRequest, "holders of limits can't be read");
+      return Fail(
+          ErrorKind::kBadRequest,
+          "malformed limit holders: expected lines of \"<state> <host>\"");
     }
     holders.push_back(
         {.host = HostId(line.substr(space + 1)), .state = named->state});
@@ -123,7 +125,7 @@
   std::vector<LimitHolder> changed = this->holders;
   const auto entry = std::ranges::find(changed, this->self, &LimitHolder::host);
   if (own == nullptr) {
-    // Nobody else can have a share where no holder is named.
+    // With no holder in the record, no other host has a share.
     const HolderState first =
         changed.empty() ? HolderState::kActive : HolderState::kJoining;
     if (changed.empty() && this->options.names_listed) {
@@ -198,7 +200,7 @@
       reply.outcome == StoreOutcome::kNotApplied) {
     this->next_call = now + this->options.retry;
     if (call == Call::kWrite) {
-      this->known = false;  // it may have taken effect
+      this->known = false;  // the write may have taken effect
       this->listed = true;
     }
     return;
@@ -222,9 +224,9 @@
 void LimitShares::TakeRecord(Instant now,
                              Instant asked,
                              const StoreRecord* record) {
-  // A record that can't be read is no ground for a share, and is replaced by
-  // whoever joins: its holders' shares have ended by the time a joining host
-  // activates.
+  // A malformed record gives no host a share. It stands for one leaving holder
+  // that never acknowledges, so the next joining host replaces it and becomes
+  // active only after all shares of the former holders have expired.
   const auto read =
       record == nullptr
           ? std::vector<LimitHolder>{}
--- a/packages/decisions/limit_shares.h
+++ b/packages/decisions/limit_shares.h
@@ -1,26 +1,29 @@
-// Which hosts hold a share of the client accounts' limits.
+// LimitShares: which hosts hold a share of the client accounts' limits.
 //
-// A record in the key-value service names the holders. Each active one may let
-// through the same part of every account's limit: 1 / number of holders. The
-// parts never add up to more than 1, whatever hosts know of each other:
+// A record in the key-value service lists the holders. Each active holder may
+// admit the same share of every account's limit: 1 / number of holders. The
+// shares never add up to more than 1, even if hosts have different views of the
+// record:
 //
-//   - a share ends `validity` after the last read that confirmed it, so a host
-//     that can't reach the service loses it in a known time;
-//   - a joining host is counted at once, but gets its share only when all other
-//     holders have acknowledged a record that counts it, or when the share of
-//     any that hasn't has ended;
-//   - a holder that is gone is first marked, and deleted `validity` later; one
-//     that stops holding deletes itself after it has stopped.
+//   - a share expires `validity` after the request time of the last read that
+//     confirmed it, so a host that can't reach the service loses it within a
+//     known time;
+//   - a joining host is counted immediately, but gets its share only when every
+//     other holder has acknowledged a record that counts it, or when the shares
+//     of those that haven't must have expired;
+//   - an absent holder is first marked as leaving and deleted `validity` (plus
+//     the clock margin) later; a host that stops holding its share deletes its
+//     entry after it has stopped.
 //
 //   LimitShares shares(self, options);
 //   shares.Start();
-//   if (const auto step = shares.Next(now, present, rank)) { ... send it }
-//   shares.OnReply(now, asked, reply);
-//   const double part = shares.Own(now);
+//   if (const auto call = shares.Next(now, present, cleans_up)) { ... send it }
+//   shares.OnReply(now, requested_at, reply);
+//   const double share = shares.OwnShare(now);
 //
 // Index
 //   LimitHolder, EncodeHolders, DecodeHolders   the record
-//   LimitSharesOptions                          lengths of time
+//   LimitSharesOptions                          key and time limits
 //   LimitShares                                 one host's share
 
 #pragma once
@@ -40,7 +43,7 @@
 
 enum class HolderState { kJoining, kActive, kLeaving };
 
-// A host that the record names.
+// An entry of the record.
 struct LimitHolder {
   HostId host;
   HolderState state = HolderState::kJoining;
@@ -48,59 +51,67 @@
   auto operator<=>(const LimitHolder&) const = default;
 };
 
-// The record's value: a line for each holder, state and host.
+// The record's value has one line per holder: "<state> <host>".
 std::string EncodeHolders(const std::vector<LimitHolder>& holders);
 Result<std::vector<LimitHolder>> DecodeHolders(const std::string& text);
 
 struct LimitSharesOptions {
   std::string key = "hickorystand/limits";
-  // A share ends so long after the read that last confirmed it was asked for.
+  // A share expires this long after the request time of the last read or write
+  // that confirmed it.
   Duration validity = std::chrono::seconds(30);
-  // Added wherever a host waits for another one's share to end: clocks of two
-  // hosts run at different speeds.
+  // Added when a host waits for another host's share to expire, as the clocks
+  // of two hosts run at different speeds.
   Duration clock_margin = std::chrono::seconds(1);
   Duration poll = std::chrono::seconds(3);
   Duration retry = std::chrono::milliseconds(200);
-  // A holder that is on no list of hosts for so long is marked as leaving.
+  // A holder that is neither listed nor linked for this long is marked as
+  // leaving.
   Duration absence = std::chrono::seconds(10);
-  // All hosts that are listed hold a share. The first record names them, so
-  // that they needn't wait for hosts that aren't linked with them.
+  // Every listed host holds a share. The first record then lists all of them
+  // as active, so that they don't wait for acknowledgements of hosts that they
+  // aren't linked with.
   bool names_listed = false;
 
   auto operator<=>(const LimitSharesOptions&) const = default;
 };
 
+// One host's share. The caller polls Next(), sends the transaction to the
+// key-value service, and passes the reply to OnReply(). At most one call is in
+// flight.
 class LimitShares {
  public:
   explicit LimitShares(HostId self, LimitSharesOptions options = {});
 
-  // This host starts to hold a share, or stops at once.
+  // Starts joining the holders, or releases the share immediately.
   void Start();
   void Stop();
 
-  // The call that is due, if none is under way. `present` are the hosts that
-  // are listed or linked; `cleans_up` on the host that removes absent holders.
+  // Returns the due call, if any, unless one is in flight. `present` holds the
+  // hosts that are listed or linked; `cleans_up` is true on the host that
+  // removes absent holders.
   std::optional<StoreTransaction> Next(Instant now,
                                        const std::set<HostId>& present,
                                        bool cleans_up);
 
-  // The answer, received `now`, to the last call of Next, made at `asked`.
+  // Takes the reply to the call of the last Next(), which was made at `asked`.
   void OnReply(Instant now, Instant asked, const StoreReply& reply);
 
-  // Another host has read the record of this revision.
+  // Records that another host has read the record at this revision.
   void OnPeerRevision(const HostId& host, int64_t revision);
 
-  // The part of each limit that this host may let through by itself; 0: none.
+  // The fraction of each limit that this host may admit; 0 without a share.
   double Own(Instant now) const;
 
-  // The part that each holder has; 0 while the record isn't known.
+  // The fraction of each holder; 0 while the record hasn't been read.
   double Each() const;
 
-  // Of the newest record read; 0 before.
+  // The revision of the newest record read; 0 before the first read.
   int64_t Revision() const { return this->revision; }
   const std::vector<LimitHolder>& Holders() const { return this->holders; }
 
-  // Time since this host's share was last confirmed.
+  // The time since this host's share was last confirmed, even if it has expired
+  // since; none if it has not been confirmed.
   std::optional<Duration> Age(Instant now) const;
 
  private:
@@ -119,17 +130,18 @@
   HostId self;
   LimitSharesOptions options;
   bool started = false;
-  bool listed = false;  // the record may name this host
-  // A write of this host has taken effect since Start. Earlier writes of it
-  // that are still on their way can't take effect after that.
+  bool listed = false;  // the record may list this host
+  // A write of this host has taken effect since Start(). Its earlier writes
+  // that are still in flight can't take effect after that.
   bool written = false;
-  bool active = false;  // since Start, as this host's own write says
-  bool known = false;   // the record has been read since Start
+  bool active = false;  // the record has listed this host as active since then
+  bool known = false;   // `holders` and `revision` are as last stored or read
   int64_t revision = 0;
   std::vector<LimitHolder> holders;
   int64_t join_revision = 0;  // the first record that counts this host
   Instant joined_at{};
-  std::optional<Instant> confirmed;  // the share, asked for at that time
+  // Request time of the last call that confirmed the share.
+  std::optional<Instant> confirmed;
   std::map<HostId, int64_t> acknowledged;
   std::map<HostId, Instant> absent_since;
   std::map<HostId, Instant> leaving_since;
--- a/packages/decisions/window_budget.h
+++ b/packages/decisions/window_budget.h
@@ -1,7 +1,7 @@
-// How many repeats this host may add to a service's load within a sliding
-// window, so that all hosts together stay within the fleet's budget without a
-// word to each other: each spends a share of the requests that it took itself,
-// and its part of a fixed slack.
+// WindowBudget: how many retries this host may add to a service's load within a
+// sliding window. All hosts together stay within the fleet's budget without
+// communication: each host may retry a fraction of the requests that it
+// received itself, plus its part of a fixed slack.
 
 #pragma once
 
@@ -14,21 +14,20 @@
 
 namespace hickorystand {
 
-// How the budget is set.
 struct WindowBudgetOptions {
   Duration window = std::chrono::seconds(10);
-  double share = 0.2;  // repeats for each request
-  double slack = 0;    // of all hosts, beyond that in each window
+  double share = 0.2;  // retries per request
+  double slack = 0;    // additional retries of all hosts per window
 
   auto operator<=>(const WindowBudgetOptions&) const = default;
 };
 
-// Hosts among which the slack is divided, for each that is listed: one that is
-// restarted or replaced within a window begins with its part unspent, so half
-// of the fleet may be.
+// The slack is divided into this many parts per listed host. A host that is
+// restarted or replaced within a window starts with its part unspent; with 2
+// parts, half of the fleet may do so without exceeding the slack.
 constexpr double kHostsForEachListed = 2;
 
-// Counts requests and repeats by service.
+// Counts requests and retries by service.
 class WindowBudget {
  public:
   explicit WindowBudget(const WindowBudgetOptions& options = {})
@@ -38,14 +37,14 @@
     this->options = changed;
   }
 
-  // How many hosts there are. Before the list of hosts was read nobody knows
-  // how many share the slack, so nothing of it is spent.
+  // Sets the number of listed hosts. No slack is spent before the first call,
+  // as the number of hosts that share it is unknown.
   void SetHosts(int64_t listed) { this->hosts = listed; }
 
-  // A caller's request for a service came in.
+  // Counts a caller's request for a service.
   void OnRequest(Instant now, const ServiceId& service);
 
-  // Takes one repeat out of the budget; false if it is spent.
+  // Takes one retry from the budget; false if it is exhausted.
   bool Take(Instant now, const ServiceId& service);
 
  private:
--- a/packages/decisions/window_sum.h
+++ b/packages/decisions/window_sum.h
@@ -1,4 +1,4 @@
-// The sum of what was counted within a sliding window, in bounded memory.
+// WindowSum: the sum of amounts within a sliding window, in bounded memory.
 
 #pragma once
 
@@ -9,15 +9,17 @@
 
 namespace hickorystand {
 
+// Amounts are collected in slots of 1/32 of the window.
 class WindowSum {
  public:
   explicit WindowSum(Duration window = std::chrono::seconds(8))
       : window(window) {}
 
-  // Adds an amount, which may be negative, that came now.
+  // Adds an amount, which may be negative, at the time `now`.
   void Add(Instant now, int64_t amount);
 
-  // The sum over the window; up to a slot older amounts count as well.
+  // The sum over the window. A slot leaves the window as a whole when its start
+  // does, so amounts may be dropped up to one slot early.
   int64_t Sum(Instant now) const;
 
  private:
--- a/packages/limits/limit_gate.cc
+++ b/packages/limits/limit_gate.cc
@@ -60,7 +60,7 @@
   this->Tick();
 }
 
-// Starts and stops to hold a share, and does what is due.
+// Starts or stops the share as needed, and runs all due work.
 void LimitGate::Tick() {
   const bool wanted = this->limited && this->started;
   if (wanted != std::exchange(this->holding, wanted)) {
@@ -118,7 +118,8 @@
   this->CallStore();
 }
 
-// A host that joins gets its share once all others have read of it.
+// Acknowledges the newest record read to the linked hosts; a joining host gets
+// its share only when all other holders have done so.
 void LimitGate::TellRevision() {
   const int64_t revision = this->shares.Revision();
   const std::vector<HostId> linked = this->handlers.linked();
@@ -207,8 +208,9 @@
   this->Flush();
 }
 
-// Sends and tells what the last calls led to. A request that is told may end at
-// once and give tokens back, so this goes on until nothing is left.
+// Sends the pending messages and delivers the pending decisions. A request may
+// end in its callback and return tokens, which adds effects, so this repeats
+// until there are none.
 void LimitGate::Flush() {
   LimitEffects effects = this->limiter.TakeEffects();
   while (!effects.Empty()) {
--- a/packages/limits/limit_gate.h
+++ b/packages/limits/limit_gate.h
@@ -1,18 +1,18 @@
-// Holds requests to the limits of client accounts: carries out what
-// decisions/account_limiter.h and decisions/limit_shares.h decide, over the
-// links between hosts and the key-value service.
+// LimitGate: enforces the limits of client accounts. It drives AccountLimiter
+// and LimitShares (decisions/account_limiter.h, decisions/limit_shares.h) over
+// the links between hosts and the key-value service.
 //
-// As long as no account has a limit, nothing is sent, read or written.
+// While no account has a limit, it sends no messages and makes no store calls.
 //
 //   LimitGate gate(options, clock, store, metrics, handlers);
 //   gate.SetLimits(limits);
-//   gate.Start();                      // this host takes requests
-//   if (const auto verdict = gate.Take(ask, later)) { ... }
+//   gate.Start();                      // this host accepts requests
+//   if (const auto decision = gate.Take(request, on_decided)) { ... }
 //
 // Index
-//   LimitGateOptions, LimitGateHandlers
-//   LimitUse                             what an account used at this host
-//   LimitGate
+//   LimitGateOptions, LimitGateHandlers   options and callbacks
+//   LimitUsage                            an account's usage at this host
+//   LimitGate                             the gate, one per host
 
 #pragma once
 
@@ -38,31 +38,34 @@
   HostId self;
   LimitSharesOptions shares;
   LimitOptions limits;
-  // Between two looks at what is due, while requests wait and while none do.
+  // Timer interval while requests wait, and while none do.
   Duration hasty_tick = std::chrono::milliseconds(20);
   Duration tick = std::chrono::milliseconds(100);
 };
 
 // Callbacks of LimitGate.
 struct LimitGateHandlers {
+  // Sends a message to a linked host; false if it could not be sent.
   std::function<bool(const HostId&, const LimitTokens&)> send;
-  // The hosts that take requests: those linked, and those listed.
+  // The hosts that accept requests: those linked, and those listed.
   std::function<std::vector<HostId>()> linked;
   std::function<std::vector<HostId>()> listed;
-  // Whether this host removes share holders that are gone.
+  // Whether this host removes absent share holders.
   std::function<bool()> cleans_up;
 };
 
-// What an account used at this host, and may use here without tokens of others.
+// An account's recent usage at this host, and the tokens left here.
 struct LimitUse {
   AccountId account;
   AccountLimit limit;
   int64_t used = 0;  // units within LimitOptions::window
-  int64_t left = 0;  // units; negative: a debt
+  int64_t left = 0;  // units; negative if in debt
 
   auto operator<=>(const LimitUse&) const = default;
 };
 
+// Admits requests under the accounts' limits and keeps this host's share of the
+// limits up to date. Runs on one event loop, on timers of its own.
 class LimitGate {
  public:
   using Later = std::function<void(const LimitVerdict&)>;
@@ -76,43 +79,44 @@
   LimitGate(const LimitGate&) = delete;
   LimitGate& operator=(const LimitGate&) = delete;
 
-  // The limits in force.
+  // Sets the limits in force.
   void SetLimits(const AccountLimits& changed);
 
-  // This host takes requests, or does so no longer.
+  // Call when this host starts or stops accepting requests.
   void Start();
   void Stop();
 
-  // The linked hosts have changed.
+  // Call when the linked hosts have changed.
   void RefreshPeers();
 
-  // Takes a request's tokens. Nothing: `later` is told the verdict, unless the
-  // wait is cancelled. The number in the ask is set here.
+  // Takes a request's tokens and sets the request's number. Returns nothing if
+  // the request has to wait; `later` is then called with the decision, unless
+  // the wait is cancelled.
   std::optional<LimitVerdict> Take(LimitAsk& ask, Later later);
   void Cancel(int64_t number);
 
-  // Tokens of a request that surely hasn't run.
+  // Returns the tokens of a request that certainly did not run.
   void GiveBack(const AccountId& account, int64_t cost);
 
-  // As above, unless the account's limit counts in another unit by now.
+  // As above, but does nothing if the limit's unit has changed since.
   void GiveBack(const AccountId& account, LimitUnit unit, int64_t cost);
 
   void OnMessage(const HostId& from, const LimitTokens& message);
 
-  // Of the newest record of share holders that was read.
+  // The revision of the newest record of share holders that was read.
   int64_t Revision() const { return this->shares.Revision(); }
 
-  // This host's part of each limit, and the time since it was confirmed.
+  // This host's fraction of each limit, and the time since it was confirmed.
   double Share() const { return this->shares.Own(this->clock->Now()); }
   std::optional<Duration> ShareAge() const {
     return this->shares.Age(this->clock->Now());
   }
 
-  // Of each account that has a limit.
+  // The usage of each account that has a limit.
   std::vector<LimitUse> Uses() const;
   Duration Window() const { return this->options.limits.window; }
 
-  // Sets the gauges of what this host holds.
+  // Sets the gauges of this host's share and tokens.
   void SetMetrics();
 
  private:
@@ -137,13 +141,13 @@
   AccountLimiter limiter;
   bool limited = false;  // some account has a limit
   bool started = false;
-  bool holding = false;  // or is about to
+  bool holding = false;  // `shares` is started
   double logged_share = 0;
   AccountLimits limits;
   int64_t last_number = 0;
   std::map<AccountId, WindowSum> used;
-  std::map<int64_t, Waiting> waiting;  // by number of the ask
-  std::map<HostId, int64_t> told;      // the newest revision, by linked host
+  std::map<int64_t, Waiting> waiting;  // by number of the request
+  std::map<HostId, int64_t> told;      // last revision sent to a linked host
   std::unique_ptr<Timer> timer;
   std::unique_ptr<Timer> hasty_timer;
   std::shared_ptr<bool> alive = std::make_shared<bool>(true);
