--- a/packages/decisions/digest.h
+++ b/packages/decisions/digest.h
@@ -1,8 +1,16 @@
-// What one entry host tells the others about itself, in small and often.
+// Digest: the state that an ingress host sends to the other hosts periodically.
 //
-// A digest is soft state: losing one does no harm, because the next repeats
-// what still matters. Receivers drop a digest whose (incarnation, sequence) is
-// not above the last one that they took from the same host.
+// A digest is soft state: a lost one needs no retransmission, because the next
+// one repeats everything that still applies. Receivers drop a digest whose
+// (incarnation, sequence) is not above the last one accepted from the same
+// host.
+//
+// Index
+//   EndpointOutstanding   a host's work in progress at an endpoint
+//   AccountServed         the service that an account received from a host
+//   Suspicion             a request suspected of crashing endpoints
+//   EndpointStatus        an endpoint's state as observed by a host
+//   Digest                all of it
 
 #pragma once
 
@@ -14,7 +22,7 @@
 
 namespace hickorystand {
 
-// Work that this host has sent to an endpoint and that still runs there.
+// Work that this host has sent to an endpoint and that is still in progress.
 struct EndpointOutstanding {
   EndpointId endpoint;
   int64_t prompt_tokens = 0;
@@ -23,7 +31,7 @@
   auto operator<=>(const EndpointOutstanding&) const = default;
 };
 
-// What a client account has been served by this host, since it started.
+// The service that a client account received from this host since its start.
 struct AccountServed {
   AccountId account;
   int64_t cost = 0;     // weighted tokens, cumulative
@@ -40,7 +48,7 @@
   auto operator<=>(const Suspicion&) const = default;
 };
 
-// An endpoint's state as this host learned it at first hand.
+// An endpoint's state as observed by this host itself.
 struct EndpointNews {
   EndpointId endpoint;
   uint64_t incarnation = 0;
@@ -50,12 +58,11 @@
   auto operator<=>(const EndpointNews&) const = default;
 };
 
-// One digest.
 struct Digest {
   HostId host;
   DataCentreId data_centre;
-  uint64_t incarnation = 0;  // of the host; rises with each start
-  uint64_t sequence = 0;     // rises with each digest of one incarnation
+  uint64_t incarnation = 0;  // of the host; increases with each start
+  uint64_t sequence = 0;     // increases with each digest of an incarnation
   int64_t configuration_revision = 0;
   bool leaving = false;
   std::vector<EndpointOutstanding> outstanding;
--- a/packages/decisions/digest_delta.cc
+++ b/packages/decisions/digest_delta.cc
@@ -11,7 +11,8 @@
 
 using Values = SentEntries::Values;
 
-// How an endpoint's state is written as a number; 0 is "no news".
+// Flags of an endpoint's encoded state. The first is always set, so that the
+// value differs from 0, which means that there is no entry.
 constexpr int64_t kHeardOf = 1;
 constexpr int64_t kLeavingBit = 2;
 constexpr int64_t kDownBit = 4;
@@ -68,7 +69,7 @@
           .down = (values.second & kDownBit) != 0};
 }
 
-// Makes the entries that say something, sorted by id.
+// Decodes the entries that are not empty, sorted by id.
 template <typename Made, typename Pairs>
 std::vector<Made> MakeEntries(const Pairs& pairs,
                               Made (*make)(const std::string&, Values)) {
@@ -99,7 +100,9 @@
   }
   auto index = static_cast<int32_t>(this->entries.size());
   if (this->free_indexes.empty()) {
-    assert(index < kMaxDigestEntries && "the configuration is over its limit");
+    assert(
+        index < kMaxDigestEntries &&
+        "more ids than kMaxDigestEntries; the configuration exceeds its limit");
     this->entries.emplace_back();
   } else {
     index = *this->free_indexes.begin();
@@ -195,8 +198,9 @@
     if (too_many && receiver.acked + 1 < this->state.sequence) {
       receiver.acked = receiver.sent = 0;
     }
-    // Whoever is to be sent the whole state holds nothing back. One that was
-    // sent something but never acked it does: it may have what is gone now.
+    // A receiver whose next delta is the full state needs no removed entries.
+    // One that was sent a state but hasn't acknowledged it does, as it may hold
+    // entries that have been removed since.
     if (receiver.sent > 0) {
       known = std::min(known, receiver.acked);
     }
@@ -225,8 +229,9 @@
     return;
   }
   Receiver& state = found->second;
-  // Entries that were gone may have been forgotten since a lower sequence, so
-  // no delta can lead on from there any more.
+  // An ack below the last full state or the last ack can't be a base: entries
+  // removed after that sequence may have been freed, and no delta would remove
+  // them at the receiver.
   const bool usable = ack.incarnation == this->state.incarnation &&
                       ack.sequence <= this->state.sequence &&
                       ack.sequence >= std::max(state.whole_at, state.acked) &&
@@ -249,7 +254,7 @@
 }
 
 DigestDelta DigestSender::Next(const HostId& receiver) {
-  assert(this->state.sequence > 0 && "call Update() first");
+  assert(this->state.sequence > 0 && "Next() needs an Update() first");
   Receiver& to = this->receivers[receiver];
   const uint64_t base = std::exchange(to.sent, this->state.sequence);
   if (base == 0) {
--- a/packages/decisions/digest_delta.h
+++ b/packages/decisions/digest_delta.h
@@ -1,18 +1,21 @@
-// Digests as differences, so that what a host spends on them follows what
-// changes and not how large the fleet is.
+// Delta encoding of digests, so that their cost depends on the number of
+// changes and not on the size of the fleet.
 //
 // The sender stamps every entry with the sequence number at which it last
 // changed. A delta with base B holds the entries stamped after B, with their
-// present values: it may be applied to any state from B on, and one delta
-// covers whatever was lost since B. Ids travel once per incarnation of the
-// sender and are indexes from then on.
+// current values. It can be applied to any state at or after B, and one delta
+// covers everything that was lost since B. Ids are sent once per
+// incarnation of the sender, when an index is assigned to them; afterwards the
+// index identifies the entry.
 //
-// Numbering ids by their place in a configuration revision was weighed too. It
-// saves the definitions, but while a change spreads, two hosts number
-// differently and can't read each other's digests.
+// Ids are not numbered by their position in a configuration revision. That
+// would save the definitions, but while a configuration change propagates, two
+// hosts would number differently and could not decode each other's digests.
 //
 // Index
-//   DigestDelta, DigestAck   what travels
+//   NormaliseDigest          rounds a digest as the encoding does
+//   DigestDelta, DigestAck   the messages
+//   SentEntries              the entries of one kind at the sender
 //   DigestSender             one host's state, for any number of receivers
 //   DigestReceiver           the state of one other host, as received
 
@@ -30,48 +33,50 @@
 
 namespace hickorystand {
 
-// Prompt tokens and served cost travel in these units. The router's estimates
-// are coarser, and a smaller unit would make more entries count as changed.
+// Prompt tokens and served cost are encoded in these units. The router's
+// estimates are coarser, and with a smaller unit more entries would count as
+// changed.
 inline constexpr int64_t kOutstandingUnit = 64;
 inline constexpr int64_t kServedUnit = 256;
 
-// Most ids of one kind that a receiver keeps for a sender.
+// Maximum number of ids of one kind that a receiver stores per sender.
 inline constexpr int32_t kMaxDigestEntries = 16384;
 
-// A digest rounded to the units above, sorted, without entries that say
-// nothing. Receivers end up with exactly this.
+// Returns the digest rounded up to the units above, sorted, and without empty
+// entries. This is exactly the digest that receivers reconstruct.
 Digest NormaliseDigest(Digest digest);
 
-// How long a sender remembers ids of entries that are gone.
+// How long a sender retains the ids of removed entries.
 struct DigestSenderOptions {
-  // In digests. An endpoint without work is gone from the digest, but is there
-  // again with its next request; sending its id anew each time would cost more
+  // In digests. An endpoint without work is removed from the digest and added
+  // again with its next request; sending its id again each time would cost more
   // than the rest of the entry.
   uint64_t keep_gone = 4096;
-  // Beyond this many gone entries that a receiver doesn't acknowledge, it is
-  // sent the whole state instead.
+  // With more removed entries of a kind than this, receivers that are behind
+  // with their acknowledgements are sent the full state, so that the entries
+  // can be freed.
   size_t max_gone = 8192;
 
   auto operator<=>(const DigestSenderOptions&) const = default;
 };
 
-// One entry's present value. Both numbers 0: there is no such entry any more.
+// One entry's current value. Both numbers are 0 if the entry was removed.
 struct DigestEntry {
   int32_t index = 0;
-  std::string id;  // only if the index was bound to this id after the base
+  std::string id;  // set only if the index was assigned after the base
   int64_t first = 0;
   int64_t second = 0;
 
   auto operator<=>(const DigestEntry&) const = default;
 };
 
-// What changed in a host's digest since `base`.
+// The changes of a host's digest since `base`.
 struct DigestDelta {
   HostId host;
   DataCentreId data_centre;
   uint64_t incarnation = 0;
   uint64_t sequence = 0;
-  uint64_t base = 0;  // 0: the whole state
+  uint64_t base = 0;  // 0: the full state
   int64_t configuration_revision = 0;
   bool leaving = false;
   std::vector<DigestEntry> outstanding;              // tokens, requests
@@ -82,16 +87,16 @@
   bool operator==(const DigestDelta&) const = default;
 };
 
-// What a receiver has of a sender.
+// The last state of a sender that a receiver has applied.
 struct DigestAck {
   uint64_t incarnation = 0;
   uint64_t sequence = 0;
-  bool gap = false;  // a delta came that doesn't fit onto this state
+  bool gap = false;  // a delta could not be applied to this state
 
   auto operator<=>(const DigestAck&) const = default;
 };
 
-// The entries of one kind at the sender.
+// The entries of one kind at the sender, with their indexes and change stamps.
 class SentEntries {
  public:
   struct Values {
@@ -101,16 +106,17 @@
     auto operator<=>(const Values&) const = default;
   };
 
-  // Takes the present entries; what is missing from them is gone.
+  // Sets the current entries; those missing from `present` are removed.
   void Update(const std::map<std::string, Values>& present, uint64_t sequence);
 
-  // The entries that changed after `base`, by rising index.
+  // Returns the entries that changed after `base`, by ascending index.
   std::vector<DigestEntry> Since(uint64_t base) const;
 
-  // Forgets entries that are gone and that everybody knows to be gone.
+  // Frees the indexes of entries that were removed at or before this sequence,
+  // which all receivers have acknowledged.
   void Forget(uint64_t known_to_all);
 
-  // Entries that are gone but not yet forgotten.
+  // The number of removed entries whose indexes are not yet freed.
   size_t Gone() const;
 
  private:
@@ -128,29 +134,30 @@
   std::set<int32_t> free_indexes;
 };
 
-// One host's digest and how far each receiver has followed it.
+// One host's digest, and for each receiver what was sent and acknowledged. Call
+// Update() once per digest, then Next() for each receiver.
 class DigestSender {
  public:
   explicit DigestSender(const DigestSenderOptions& options = {})
       : options(options) {}
 
-  // Takes the host's present state and gives it the next sequence number.
+  // Sets the host's current state and assigns it the next sequence number.
   void Update(const Digest& digest);
 
-  // A new connection to a receiver was made: what was under way on the one
-  // before may be lost.
+  // Call on a new connection to a receiver. Deltas in flight on the previous
+  // connection may be lost, so they are sent again.
   void OnConnected(const HostId& receiver, uint64_t receiver_incarnation);
 
-  // A receiver said what it has.
+  // Handles an acknowledgement.
   void OnAck(const HostId& receiver, const DigestAck& ack);
 
-  // A delta made for this receiver was dropped before it was sent.
+  // Call when a delta for this receiver was dropped before it was sent.
   void OnDropped(const HostId& receiver);
 
-  // The receiver has left for good.
+  // Removes a receiver that won't return.
   void Remove(const HostId& receiver) { this->receivers.erase(receiver); }
 
-  // The next delta for a receiver, which counts as sent from now on.
+  // Returns the next delta for a receiver and marks it as sent.
   DigestDelta Next(const HostId& receiver);
 
   uint64_t Sequence() const { return this->state.sequence; }
@@ -161,13 +168,13 @@
     uint64_t incarnation = 0;
     uint64_t acked = 0;
     uint64_t sent = 0;
-    uint64_t whole_at = 0;  // when it was last sent the whole state
+    uint64_t whole_at = 0;  // sequence at which the full state was last sent
   };
 
   void ForgetWhatIsGone();
 
   DigestSenderOptions options;
-  Digest state;  // without its lists, but for the suspicions
+  Digest state;  // of its lists, only the suspicions
   uint64_t suspicions_changed_at = 0;
   SentEntries outstanding;
   SentEntries served;
@@ -175,24 +182,23 @@
   std::map<HostId, Receiver> receivers;
 };
 
-// What became of a delta.
+// The result of DigestReceiver::Apply().
 enum class DeltaOutcome {
   kApplied,
-  kStale,  // not above what is already here
-  kGap,    // something before it was lost; the next ack says so
-  kWrong,  // not what a sender of this release makes
+  kStale,  // not newer than the current state
+  kGap,    // an earlier delta was lost; the next ack reports the gap
+  kWrong,  // malformed: no sender of this release produces it
 };
 
 // The state of one other host.
 class DigestReceiver {
  public:
-  // Takes a delta.
   DeltaOutcome Apply(const DigestDelta& delta);
 
-  // The sender's digest as known here; its lists are sorted by id.
+  // The sender's digest as last applied; its lists are sorted by id.
   const Digest& Current() const { return this->current; }
 
-  // What to tell the sender.
+  // The acknowledgement to send.
   DigestAck Ack() const;
 
  private:
--- a/packages/decisions/digest_summary.cc
+++ b/packages/decisions/digest_summary.cc
@@ -6,12 +6,12 @@
 namespace hickorystand {
 namespace {
 
-// Sources that are gone but whose counters are remembered.
+// Maximum number of sources that have left but whose counters are retained.
 constexpr size_t kMaxGone = 64;
 
 }  // namespace
 
-// Adds what a source served since its last digest.
+// Adds the cost that a source served since its last digest.
 void DigestSummary::Count(Source& source, const Digest& digest) {
   const bool first = source.incarnation == 0;
   if (digest.incarnation != source.incarnation) {
@@ -44,7 +44,8 @@
   if (found == this->sources.end() || std::ranges::count(this->gone, source)) {
     return;
   }
-  // Its counters are kept for a while: it may only have been cut off.
+  // The counters are retained, as the source may only be unreachable for a
+  // while.
   found->second.digest = {};
   this->gone.push_back(source);
   if (this->gone.size() > kMaxGone) {
--- a/packages/decisions/digest_summary.h
+++ b/packages/decisions/digest_summary.h
@@ -1,10 +1,11 @@
-// Many digests as one: what the hosts of a data centre tell the others, and
-// what all other data centres told this one, without naming single hosts.
+// DigestSummary: many digests aggregated into one that names no single host.
 //
-// Representatives make both. Served cost is cumulative from the moment when a
-// representative first heard a source, over restarts of that source. Counting
-// from the source's own start was tried on paper and dropped: whenever another
-// representative took over, its sums would have jumped by the work of hours.
+// The representative of a data centre aggregates the digests of its hosts for
+// the other data centres, and the summaries of the other data centres for its
+// own hosts. Served cost is cumulative from the first digest that the
+// representative received from a source, across restarts of that source. It is
+// not counted from the source's own start: whenever another representative took
+// over, its sums would jump by hours of work.
 
 #pragma once
 
@@ -17,30 +18,31 @@
 
 namespace hickorystand {
 
-// Served cost in a summary is rounded down to this. Fairness between data
-// centres works over many seconds; with a small unit every account would count
-// as changed in every summary, and a representative passes summaries on to all
-// hosts of its data centre.
+// Served cost in a summary is rounded down to a multiple of this. Fairness
+// between data centres works over many seconds. With a small unit every account
+// would count as changed in every summary, and a representative forwards
+// summaries to all hosts of its data centre.
 inline constexpr int64_t kSummaryUnit = 16384;
 
+// Aggregates the digests of any number of sources.
 class DigestSummary {
  public:
-  // Takes the newest digest of a source: of a host, or of a data centre under
-  // the id of the representative that sent it.
+  // Handles a digest of a source: a host, or a data centre under the id of the
+  // representative that sent it. Stale digests are ignored.
   void OnDigest(const Digest& digest);
 
-  // A source is gone. What it had served stays counted; what it had under way
-  // and queued does not.
+  // Call when a source has left. Its served cost stays counted; its outstanding
+  // and queued work does not.
   void OnGone(const HostId& source);
 
-  // The sum of all sources, as the digest of `host`. Its endpoint news holds
-  // what leaves, and nothing of what is down, which is one host's experience.
-  // Queues are left out: they change with every request.
+  // Returns the sum of all sources as the digest of `host`. It includes leaving
+  // endpoints, but not the down state, which is one host's observation. Queue
+  // lengths are left out, as they change with every request.
   Digest Make(const HostId& host,
               const DataCentreId& data_centre,
               uint64_t incarnation) const;
 
-  // How many sources are remembered.
+  // The number of sources, including retained ones that have left.
   size_t Sources() const { return this->sources.size(); }
 
  private:
@@ -54,7 +56,7 @@
   void Count(Source& source, const Digest& digest);
 
   std::map<HostId, Source> sources;
-  std::deque<HostId> gone;  // of the sources, oldest first
+  std::deque<HostId> gone;  // sources that have left, oldest first
   std::map<AccountId, int64_t> served;
 };
 
--- a/packages/decisions/endpoint_board.cc
+++ b/packages/decisions/endpoint_board.cc
@@ -4,7 +4,8 @@
 
 namespace hickorystand {
 
-// The state of an endpoint's incarnation; nullptr if a newer one is known.
+// Returns the state of an endpoint's incarnation, or nullptr if a newer
+// incarnation has been reported. A new incarnation resets the state.
 EndpointBoard::State* EndpointBoard::Current(const EndpointId& endpoint,
                                              uint64_t incarnation) {
   State& state = this->states[endpoint];
--- a/packages/decisions/endpoint_board.h
+++ b/packages/decisions/endpoint_board.h
@@ -1,11 +1,12 @@
-// What hosts have said of endpoints that leave or are down, merged.
+// EndpointStatusTable: the merged reports of all hosts on endpoints that are
+// leaving or down.
 //
-// Leaving is a fact about one incarnation of an endpoint: whoever saw it, it
-// holds for all until the endpoint starts anew. Down is one host's experience
-// and may be that host's own fault: a host that lost its way to every endpoint
-// would otherwise take the whole fleet out of service. So "down" is believed
-// until this host itself is answered by the endpoint, or until the one who said
-// so takes it back or is gone.
+// "Leaving" belongs to one incarnation of an endpoint: reported by any host, it
+// applies to all hosts until the endpoint restarts. "Down" is the observation
+// of one host and may be caused by that host's own network: a host that can't
+// reach any endpoint would otherwise take the whole fleet out of service. So a
+// "down" report applies only until this host itself gets a response from the
+// endpoint, or until the reporting host withdraws it or leaves.
 
 #pragma once
 
@@ -19,36 +20,37 @@
 
 namespace hickorystand {
 
+// The state of each endpoint that any host, including this one, has reported.
 class EndpointBoard {
  public:
-  // All that a host says of endpoints at present, itself included. A claim
-  // that it made before and that is missing now is taken back.
+  // Sets all current reports of a host. An earlier "down" report that is
+  // missing now is withdrawn.
   void OnNews(const HostId& from, const std::vector<EndpointNews>& news);
 
-  // A host's one piece of news, ahead of its next digest.
+  // Handles a single report of a host, ahead of its next digest.
   void OnNews(const HostId& from, const EndpointNews& news);
 
-  // This host got an answer from an endpoint.
+  // Call when this host got a response from an endpoint.
   void OnAlive(const EndpointId& endpoint, uint64_t incarnation);
 
-  // A host is gone; its experience of endpoints went with it.
+  // Withdraws the "down" reports of a host that has left.
   void OnHostGone(const HostId& host);
 
-  // Forgets endpoints that no longer stand in the configuration.
+  // Removes endpoints that are no longer in the configuration.
   void Keep(const std::set<EndpointId>& endpoints);
 
-  // Whether new work must stay away from an endpoint.
+  // Whether an endpoint must get no new work.
   bool Out(const EndpointId& endpoint) const;
 
-  // What is known to be leaving, to be told to other data centres.
+  // The endpoints that are leaving, to be reported to other data centres.
   std::vector<EndpointNews> Leaving() const;
 
  private:
   struct State {
     uint64_t incarnation = 0;
     bool leaving = false;
-    std::set<HostId> down;     // who says so
-    std::set<HostId> refuted;  // of those, whom this host found to be wrong
+    std::set<HostId> down;     // hosts that report the endpoint as down
+    std::set<HostId> refuted;  // of these, hosts whose report was disproved
   };
 
   State* Current(const EndpointId& endpoint, uint64_t incarnation);
--- a/packages/decisions/store.h
+++ b/packages/decisions/store.h
@@ -1,8 +1,15 @@
-// What decisions may ask of the platform's key-value service, as plain values.
+// Transactions of the platform's key-value service, as plain values.
 //
-// The shapes follow the published etcd v3 interface: transactions compare and
-// then write, leases expire, and revisions only rise. A decision emits a
-// StoreTransaction; the daemon carries it out and hands back the StoreReply.
+// The types follow the etcd v3 API: transactions compare and then write, leases
+// expire, and revisions only increase. Decision code emits a StoreTransaction;
+// the daemon executes it and returns the StoreReply.
+//
+// Index
+//   StoreRecord                                 a stored record
+//   StoreCompare, StoreOperation                parts of a transaction
+//   StoreGet, StorePut, StoreDelete             make operations
+//   StoreTransaction, StoreOutcome, StoreReply  a transaction and its result
+//   FindRecord                                  a record of a reply, by key
 
 #pragma once
 
@@ -48,25 +55,25 @@
   auto operator<=>(const StoreOperation&) const = default;
 };
 
-// Steps, written short.
+// Functions that make operations.
 StoreOperation StoreGet(std::string key);
 StoreOperation StorePut(std::string key, std::string value, int64_t lease = 0);
 StoreOperation StoreDelete(std::string key);
 
-// Does `then` if every condition holds, else `otherwise`; all at once.
+// Executes `then` if every condition holds, else `otherwise`, atomically.
 struct StoreTransaction {
   std::vector<StoreCompare> conditions;
   std::vector<StoreOperation> then;
   std::vector<StoreOperation> otherwise;
-  // Its reads, if it does nothing else, may be seconds old. A service for which
-  // such reads are no cheaper may ignore it.
+  // A transaction that only reads may return data that is seconds old. A
+  // service for which such reads are no cheaper may ignore this.
   bool stale = false;
 
   auto operator<=>(const StoreTransaction&) const = default;
 };
 
-// How a transaction ended. The third case is why decisions read back: a reply
-// can be lost after its write took effect.
+// The result of a transaction. After kUnknown the caller has to read the record
+// back, as a reply can be lost after the write took effect.
 enum class StoreOutcome {
   kThen,        // the conditions held
   kOtherwise,   // they did not
@@ -74,16 +81,16 @@
   kUnknown,     // sent, but no reply came: it may have taken effect
 };
 
-// What came back.
+// The reply to a transaction.
 struct StoreReply {
   StoreOutcome outcome = StoreOutcome::kUnknown;
-  int64_t revision = 0;              // of the service when it answered
+  int64_t revision = 0;              // of the service at the time of the reply
   std::vector<StoreRecord> records;  // of all kGet and kGetPrefix, in order
 
   auto operator<=>(const StoreReply&) const = default;
 };
 
-// The record with a key among those of a reply, or nullptr if it was absent.
+// Returns the record with this key in a reply, or nullptr if it is absent.
 const StoreRecord* FindRecord(const StoreReply& reply, std::string_view key);
 
 }  // namespace hickorystand
