--- a/packages/decisions/account_limiter.cc
+++ b/packages/decisions/account_limiter.cc
@@ -125,19 +125,22 @@
   this->configured = true;
 }
 
-void AccountLimiter::SetShare(Instant now, double own, double each) {
+void AccountLimiter::SetShare(Instant now,
+                              double own_share,
+                              double holder_share) {
   // Without the number of holders, this host still pools the tokens that it is
   // granted; the linked hosts stand in for the holders.
-  const double counted =
-      each > 0 ? each : 1 / static_cast<double>(this->peers.size() + 1);
-  if (own == this->own && counted == this->each) {
+  const double known_share =
+      holder_share > 0 ? holder_share
+                       : 1 / static_cast<double>(this->peers.size() + 1);
+  if (own_share == this->own && known_share == this->each) {
     return;
   }
   for (auto& [account, bucket] : this->buckets) {
     this->Count(bucket, now);
   }
-  this->own = own;
-  this->each = counted;
+  this->own = own_share;
+  this->each = known_share;
 }
 
 void AccountLimiter::SetPeers(Instant now, const std::vector<HostId>& linked) {
@@ -148,10 +151,10 @@
     this->Count(bucket, now);
   }
   this->peers = linked;
-  const auto gone = [&](const auto& entry) {
+  const auto unlinked = [&](const auto& entry) {
     return std::ranges::find(linked, entry.second.to) == linked.end();
   };
-  std::erase_if(this->pending, gone);
+  std::erase_if(this->pending, unlinked);
   for (auto& [account, bucket] : this->buckets) {
     bucket.home = this->ChooseHome(account);
     bucket.refused_until = {};
@@ -170,36 +173,37 @@
 
 // The tokens that the bucket must hold to admit a request.
 double AccountLimiter::Needed(const Bucket& bucket,
-                              const LimitAsk& ask,
+                              const LimitAsk& request,
                               Instant now) const {
   const double capacity = this->Capacity(bucket);
-  const auto cost = static_cast<double>(ask.cost);
+  const auto cost = static_cast<double>(request.cost);
   const double needed = this->IsHome(bucket)
                             ? std::min(cost, this->options.low_part * capacity)
                             : cost;
-  const double kept = now < bucket.short_until
-                          ? std::min(this->options.most_kept * capacity,
-                                     this->options.kept_per_step * cost *
-                                         static_cast<double>(ask.priority))
-                          : 0;
-  return needed + kept;
+  const double reserve =
+      now < bucket.short_until
+          ? std::min(this->options.most_kept * capacity,
+                     this->options.kept_per_step * cost *
+                         static_cast<double>(request.priority))
+          : 0;
+  return needed + reserve;
 }
 
 // Takes the tokens of a request if the bucket holds enough.
 bool AccountLimiter::Spend(Bucket& bucket,
-                           const LimitAsk& ask,
+                           const LimitAsk& request,
                            Instant now) const {
   if (this->Capacity(bucket) <= 0 ||
-      bucket.tokens < this->Needed(bucket, ask, now)) {
+      bucket.tokens < this->Needed(bucket, request, now)) {
     return false;
   }
-  bucket.tokens -= static_cast<double>(ask.cost);
+  bucket.tokens -= static_cast<double>(request.cost);
   return true;
 }
 
 // Whether enough tokens may arrive before the wait ends.
 bool AccountLimiter::WorthWaiting(const Bucket& bucket,
-                                  const LimitAsk& ask,
+                                  const LimitAsk& request,
                                   Instant now) const {
   if (this->options.pooling == LimitPooling::kNone || this->peers.empty()) {
     return false;
@@ -213,18 +217,18 @@
         return found != bucket.emptied.end() &&
                now - found->second < this->options.refusal_memory;
       });
-  const double missing = this->Needed(bucket, ask, now) - bucket.tokens;
+  const double missing = this->Needed(bucket, request, now) - bucket.tokens;
   return !others_empty || missing < bucket.limit.rate * this->Linked() *
                                         ToSeconds(this->options.home_wait);
 }
 
 std::optional<LimitVerdict> AccountLimiter::Take(Instant now,
-                                                 const LimitAsk& ask) {
-  const auto found = this->buckets.find(ask.account);
+                                                 const LimitAsk& request) {
+  const auto found = this->buckets.find(request.account);
   if (found == this->buckets.end()) {
     return LimitVerdict{.granted = true, .reason = "no limit"};
   }
-  return this->Serve(found->second, {.ask = ask}, now);
+  return this->Serve(found->second, {.ask = request}, now);
 }
 
 std::optional<LimitVerdict> AccountLimiter::Serve(Bucket& bucket,
@@ -246,10 +250,10 @@
   waiting.until = now + (this->IsHome(bucket) ? this->options.home_wait
                                               : this->options.wait);
   this->AskHome(bucket, waiting, now);
-  const auto place = std::ranges::upper_bound(
+  const auto position = std::ranges::upper_bound(
       bucket.queue, waiting.ask.priority, {},
-      [](const Waiting& one) { return one.ask.priority; });
-  bucket.queue.insert(place, std::move(waiting));
+      [](const Waiting& queued) { return queued.ask.priority; });
+  bucket.queue.insert(position, std::move(waiting));
   return {};
 }
 
@@ -286,7 +290,7 @@
 // Refuses a request. The retry-after times of refused requests are staggered at
 // the rate at which tokens arrive, so that the retries don't all come at once.
 LimitVerdict AccountLimiter::Refused(Bucket& bucket,
-                                     const LimitAsk& ask,
+                                     const LimitAsk& request,
                                      std::string_view reason,
                                      Instant now) const {
   bucket.short_until = now + this->options.shortage_memory;
@@ -294,14 +298,15 @@
   const double rate = std::max(bucket.limit.rate * part, 1.0);
   const double capacity = this->Capacity(bucket);
   const double missing = std::max(
-      std::min(static_cast<double>(ask.cost), capacity) - bucket.tokens, 0.0);
+      std::min(static_cast<double>(request.cost), capacity) - bucket.tokens,
+      0.0);
   const Instant longest = now + this->options.longest_retry;
   const Instant refilled =
       std::min(longest, now + FromSeconds(std::min(missing / rate, 60.0)));
   bucket.backlog_until = std::min(
-      longest,
-      std::max(bucket.backlog_until, refilled) +
-          FromSeconds(std::min(static_cast<double>(ask.cost) / rate, 60.0)));
+      longest, std::max(bucket.backlog_until, refilled) +
+                   FromSeconds(std::min(
+                       static_cast<double>(request.cost) / rate, 60.0)));
   return {.retry_after = std::max(bucket.backlog_until - now,
                                   this->options.shortest_retry),
           .reason = reason,
@@ -345,8 +350,8 @@
 // keeps half of its bucket.
 double AccountLimiter::Spare(const Bucket& bucket, Instant now) const {
   const bool busy = now - bucket.demanded < this->options.shortage_memory;
-  const bool keeps = this->IsHome(bucket) && busy;
-  return std::max(bucket.tokens - (keeps ? this->Capacity(bucket) / 2 : 0),
+  const bool keeps_half = this->IsHome(bucket) && busy;
+  return std::max(bucket.tokens - (keeps_half ? this->Capacity(bucket) / 2 : 0),
                   0.0);
 }
 
@@ -385,14 +390,15 @@
 void AccountLimiter::OnGrant(Instant now,
                              const HostId& from,
                              const TokenGrant& grant) {
-  const auto asked = this->pending.find(grant.number);
-  if (asked == this->pending.end() || asked->second.to != from ||
-      asked->second.want.account != grant.account || grant.tokens < 0) {
+  const auto pending_want = this->pending.find(grant.number);
+  if (pending_want == this->pending.end() || pending_want->second.to != from ||
+      pending_want->second.want.account != grant.account || grant.tokens < 0) {
     return;
   }
-  const bool pulled = asked->second.want.pull;
-  const bool emptied = pulled && grant.tokens < asked->second.want.tokens;
-  this->pending.erase(asked);
+  const bool pulled = pending_want->second.want.pull;
+  const bool emptied =
+      pulled && grant.tokens < pending_want->second.want.tokens;
+  this->pending.erase(pending_want);
   const auto found = this->buckets.find(grant.account);
   if (found == this->buckets.end()) {
     return;
@@ -430,16 +436,16 @@
 void AccountLimiter::Advance(Bucket& bucket, Instant now) {
   std::deque<Waiting> rest;
   for (Waiting& waiting : std::exchange(bucket.queue, {})) {
-    const bool asked =
+    const bool home_pending =
         waiting.want != 0 && this->pending.contains(waiting.want);
     if (this->Spend(bucket, waiting.ask, now)) {
       this->Decide(waiting, this->Granted(bucket));
     } else if (now >= waiting.until) {
-      this->Decide(
-          waiting,
-          this->Refused(bucket, waiting.ask,
-                        asked ? "no answer of the home" : "used up", now));
-    } else if (!asked && !this->WorthWaiting(bucket, waiting.ask, now)) {
+      this->Decide(waiting, this->Refused(bucket, waiting.ask,
+                                          home_pending ? "no answer of the home"
+                                                       : "used up",
+                                          now));
+    } else if (!home_pending && !this->WorthWaiting(bucket, waiting.ask, now)) {
       this->Decide(waiting, this->Refused(bucket, waiting.ask, "used up", now));
     } else {
       rest.push_back(std::move(waiting));
@@ -449,11 +455,12 @@
 }
 
 Duration AccountLimiter::PullPeriod(const Bucket& bucket) const {
-  const double fills = this->options.local_part * this->Full(bucket.limit) /
-                       std::max(bucket.limit.rate, 1.0);
-  const Duration usual =
-      std::clamp(FromSeconds(std::min(fills, 60.0) * this->options.pull_part),
-                 this->options.shortest_pull, this->options.longest_pull);
+  const double fill_seconds = this->options.local_part *
+                              this->Full(bucket.limit) /
+                              std::max(bucket.limit.rate, 1.0);
+  const Duration usual = std::clamp(
+      FromSeconds(std::min(fill_seconds, 60.0) * this->options.pull_part),
+      this->options.shortest_pull, this->options.longest_pull);
   if (bucket.queue.empty() && bucket.tokens >= 0) {
     return usual;
   }
@@ -472,21 +479,21 @@
 
 void AccountLimiter::Pull(Bucket& bucket, Instant now) {
   bucket.pulled = now;
-  const auto waiting = [](double sum, const Waiting& one) {
-    return sum + static_cast<double>(one.ask.cost);
+  const auto add_cost = [](double sum, const Waiting& queued) {
+    return sum + static_cast<double>(queued.ask.cost);
   };
   const double missing =
       std::accumulate(bucket.queue.begin(), bucket.queue.end(),
-                      this->Capacity(bucket) - bucket.tokens, waiting);
+                      this->Capacity(bucket) - bucket.tokens, add_cost);
   const auto part = static_cast<int64_t>(
       std::ceil(missing / static_cast<double>(this->peers.size())));
   for (const HostId& peer : this->peers) {
-    const bool asked =
+    const bool already_pulled =
         std::ranges::any_of(this->pending, [&](const auto& entry) {
           return entry.second.want.pull && entry.second.to == peer &&
                  entry.second.want.account == bucket.account;
         });
-    if (part > 0 && !asked) {
+    if (part > 0 && !already_pulled) {
       this->Send(
           peer, {.account = bucket.account, .tokens = part, .pull = true}, now);
     }
@@ -499,17 +506,17 @@
   });
   std::vector<Bucket*> low;
   for (auto& [account, bucket] : this->buckets) {
-    const bool wanted = now - bucket.demanded < this->options.idle_after;
-    if (!wanted && bucket.queue.empty()) {
+    const bool has_demand = now - bucket.demanded < this->options.idle_after;
+    if (!has_demand && bucket.queue.empty()) {
       continue;
     }
     this->Count(bucket, now);
     this->Advance(bucket, now);
-    const bool lacks =
+    const bool needs_tokens =
         !bucket.queue.empty() ||
         bucket.tokens < this->options.low_part * this->Capacity(bucket);
     if (this->options.pooling != LimitPooling::kNone && this->IsHome(bucket) &&
-        lacks) {
+        needs_tokens) {
       low.push_back(&bucket);
     }
   }
--- a/packages/decisions/account_limiter.h
+++ b/packages/decisions/account_limiter.h
@@ -19,14 +19,14 @@
 //   limiter.SetLimits(now, limits);
 //   limiter.SetShare(now, own_share, holder_share);
 //   limiter.SetPeers(now, linked);
-//   if (const auto decision = limiter.Take(now, request)) { ... }
+//   if (const auto verdict = limiter.Take(now, request)) { ... }
 //   else ...                       // TakeEffects() returns it later
 //   limiter.OnWant / OnGrant;      // messages from other hosts
 //   limiter.Tick(now);             // about every 20 ms
 //
 // Index
 //   TokenWant, TokenGrant          messages between hosts
-//   LimitRequest, LimitDecision    a request and its admission decision
+//   LimitRequest, LimitVerdict     a request and its admission decision
 //   LimitEffects                   messages to send and decisions to deliver
 //   LimitOptions, LimitPooling     how tokens are pooled
 //   AccountLimiter                 one host's buckets
@@ -174,15 +174,15 @@
   void SetLimits(Instant now, const AccountLimits& limits);
 
   // Sets the fractions of each limit that this host and each holder may admit.
-  // `each` is 0 while the number of holders is unknown.
-  void SetShare(Instant now, double own, double each);
+  // `holder_share` is 0 while the number of holders is unknown.
+  void SetShare(Instant now, double own_share, double holder_share);
 
   // Sets the linked hosts that take part.
   void SetPeers(Instant now, const std::vector<HostId>& linked);
 
   // Takes a request's tokens. Returns nothing if the request has to wait; the
   // decision then follows in LimitEffects::decided.
-  std::optional<LimitVerdict> Take(Instant now, const LimitAsk& ask);
+  std::optional<LimitVerdict> Take(Instant now, const LimitAsk& request);
 
   // Drops a waiting request; no decision follows for it.
   void Cancel(int64_t number);
@@ -240,10 +240,12 @@
   double CountedAt(const Bucket& bucket, Instant now) const;
   void Count(Bucket& bucket, Instant now) const;
   HostId ChooseHome(const AccountId& account) const;
-  double Needed(const Bucket& bucket, const LimitAsk& ask, Instant now) const;
-  bool Spend(Bucket& bucket, const LimitAsk& ask, Instant now) const;
+  double Needed(const Bucket& bucket,
+                const LimitAsk& request,
+                Instant now) const;
+  bool Spend(Bucket& bucket, const LimitAsk& request, Instant now) const;
   bool WorthWaiting(const Bucket& bucket,
-                    const LimitAsk& ask,
+                    const LimitAsk& request,
                     Instant now) const;
   std::optional<LimitVerdict> Serve(Bucket& bucket,
                                     Waiting waiting,
@@ -251,7 +253,7 @@
   void AskHome(Bucket& bucket, Waiting& waiting, Instant now);
   LimitVerdict Granted(const Bucket& bucket) const;
   LimitVerdict Refused(Bucket& bucket,
-                       const LimitAsk& ask,
+                       const LimitAsk& request,
                        std::string_view reason,
                        Instant now) const;
   void Decide(const Waiting& waiting, const LimitVerdict& verdict);
--- a/packages/decisions/claims.cc
+++ b/packages/decisions/claims.cc
@@ -188,8 +188,8 @@
   if (shared.lease != 0 && now < shared.usable_until) {
     return true;
   }
-  const bool given_up = now - shared.asked >= this->options.settle;
-  if (shared.call == 0 || given_up) {
+  const bool timed_out = now - shared.asked >= this->options.settle;
+  if (shared.call == 0 || timed_out) {
     shared = {.call = ++this->last_tag, .asked = now};
     ++this->counts.leases;
     out.emplace_back(
@@ -311,7 +311,7 @@
 }
 
 void ClaimBook::Grant(const Waiting& claim) {
-  const bool fresh =
+  const bool inserted =
       this->granted
           .emplace(claim.request.request,
                    Granted{.key = claim.request.key,
@@ -320,7 +320,8 @@
                            .valid_until =
                                claim.first_sent + claim.request.window / 2})
           .second;
-  assert(fresh && "a request is granted once; call OnSent() when it was sent");
+  assert(inserted &&
+         "a request is granted once; call OnSent() when it was sent");
 }
 
 void ClaimBook::Answer(const std::string& token,
@@ -353,15 +354,16 @@
   }
   for (const std::string& token : due) {
     const Waiting& claim = this->waiting.at(token);
-    const bool perhaps = claim.perhaps_recorded || claim.in_flight;
-    if (perhaps) {
+    const bool may_be_recorded = claim.perhaps_recorded || claim.in_flight;
+    if (may_be_recorded) {
       this->AddCleanUp({.key = claim.request.key,
                         .token = token,
                         .last_sent = claim.last_sent});
     }
-    this->Answer(token,
-                 perhaps ? ClaimResult::kUnknown : ClaimResult::kUnavailable,
-                 out);
+    this->Answer(
+        token,
+        may_be_recorded ? ClaimResult::kUnknown : ClaimResult::kUnavailable,
+        out);
   }
 }
 
@@ -375,9 +377,10 @@
 // Deletes one unused record if it holds the claim's own token: a later claim of
 // the same key by another request must stay.
 void ClaimBook::SendCleanUps(Instant now, ClaimActions& out) {
-  const auto due = std::ranges::find_if(this->clean_ups, [now](const auto& e) {
-    return !e.second.in_flight && now >= e.second.next_try;
-  });
+  const auto due =
+      std::ranges::find_if(this->clean_ups, [now](const auto& entry) {
+        return !entry.second.in_flight && now >= entry.second.next_try;
+      });
   if (due == this->clean_ups.end()) {
     return;
   }
--- a/packages/decisions/digest_delta.cc
+++ b/packages/decisions/digest_delta.cc
@@ -73,14 +73,14 @@
 template <typename Made, typename Pairs>
 std::vector<Made> MakeEntries(const Pairs& pairs,
                               Made (*make)(const std::string&, Values)) {
-  std::vector<Made> made;
+  std::vector<Made> entries;
   for (const auto& [id, values] : pairs) {
     if (values != Values{}) {
-      made.push_back(make(id, values));
+      entries.push_back(make(id, values));
     }
   }
-  std::ranges::sort(made);
-  return made;
+  std::ranges::sort(entries);
+  return entries;
 }
 
 }  // namespace
@@ -147,11 +147,11 @@
   return changed;
 }
 
-void SentEntries::Forget(uint64_t known_to_all) {
+void SentEntries::Forget(uint64_t acknowledged) {
   for (size_t i = 0; i < this->entries.size(); ++i) {
     Entry& entry = this->entries[i];
     if (!entry.id.empty() && entry.values == Values{} &&
-        entry.changed_at <= known_to_all) {
+        entry.changed_at <= acknowledged) {
       this->indexes.erase(entry.id);
       this->free_indexes.insert(static_cast<int32_t>(i));
       entry = {};
@@ -193,7 +193,7 @@
   const bool too_many = this->outstanding.Gone() > this->options.max_gone ||
                         this->served.Gone() > this->options.max_gone ||
                         this->endpoints.Gone() > this->options.max_gone;
-  uint64_t known = this->state.sequence;
+  uint64_t acknowledged = this->state.sequence;
   for (auto& [id, receiver] : this->receivers) {
     if (too_many && receiver.acked + 1 < this->state.sequence) {
       receiver.acked = receiver.sent = 0;
@@ -202,16 +202,16 @@
     // One that was sent a state but hasn't acknowledged it does, as it may hold
     // entries that have been removed since.
     if (receiver.sent > 0) {
-      known = std::min(known, receiver.acked);
+      acknowledged = std::min(acknowledged, receiver.acked);
     }
   }
-  if (known <= this->options.keep_gone) {
+  if (acknowledged <= this->options.keep_gone) {
     return;
   }
-  known -= this->options.keep_gone;
-  this->outstanding.Forget(known);
-  this->served.Forget(known);
-  this->endpoints.Forget(known);
+  acknowledged -= this->options.keep_gone;
+  this->outstanding.Forget(acknowledged);
+  this->served.Forget(acknowledged);
+  this->endpoints.Forget(acknowledged);
 }
 
 void DigestSender::OnConnected(const HostId& receiver,
@@ -255,10 +255,10 @@
 
 DigestDelta DigestSender::Next(const HostId& receiver) {
   assert(this->state.sequence > 0 && "Next() needs an Update() first");
-  Receiver& to = this->receivers[receiver];
-  const uint64_t base = std::exchange(to.sent, this->state.sequence);
+  Receiver& state = this->receivers[receiver];
+  const uint64_t base = std::exchange(state.sent, this->state.sequence);
   if (base == 0) {
-    to.whole_at = this->state.sequence;
+    state.whole_at = this->state.sequence;
   }
   DigestDelta delta{
       .host = this->state.host,
--- a/packages/decisions/digest_delta.h
+++ b/packages/decisions/digest_delta.h
@@ -114,7 +114,7 @@
 
   // Frees the indexes of entries that were removed at or before this sequence,
   // which all receivers have acknowledged.
-  void Forget(uint64_t known_to_all);
+  void Forget(uint64_t acknowledged);
 
   // The number of removed entries whose indexes are not yet freed.
   size_t Gone() const;
--- a/packages/decisions/digest_summary.cc
+++ b/packages/decisions/digest_summary.cc
@@ -72,14 +72,14 @@
       total.requests += entry.requests;
     }
     for (const auto& entry : source.digest.suspicions) {
-      int64_t& most = crashes[entry.fingerprint];
-      most = std::max(most, entry.crashes);
+      int64_t& max_crashes = crashes[entry.fingerprint];
+      max_crashes = std::max(max_crashes, entry.crashes);
     }
     for (const auto& entry : source.digest.endpoints) {
-      auto& news = leaving[entry.endpoint];
-      if (entry.leaving && entry.incarnation >= news.incarnation) {
-        news = entry;
-        news.down = false;
+      auto& status = leaving[entry.endpoint];
+      if (entry.leaving && entry.incarnation >= status.incarnation) {
+        status = entry;
+        status.down = false;
       }
     }
     sum.configuration_revision = std::max(sum.configuration_revision,
@@ -92,12 +92,13 @@
     sum.served.push_back(
         {.account = account, .cost = cost - cost % kSummaryUnit});
   }
-  for (const auto& [fingerprint, most] : crashes) {
-    sum.suspicions.push_back({.fingerprint = fingerprint, .crashes = most});
+  for (const auto& [fingerprint, max_crashes] : crashes) {
+    sum.suspicions.push_back(
+        {.fingerprint = fingerprint, .crashes = max_crashes});
   }
-  for (const auto& [id, news] : leaving) {
-    if (news.leaving) {
-      sum.endpoints.push_back(news);
+  for (const auto& [id, status] : leaving) {
+    if (status.leaving) {
+      sum.endpoints.push_back(status);
     }
   }
   return sum;
--- a/packages/decisions/endpoint_board.cc
+++ b/packages/decisions/endpoint_board.cc
@@ -18,13 +18,13 @@
   return &state;
 }
 
-void EndpointBoard::OnNews(const HostId& from, const EndpointNews& news) {
-  State* state = this->Current(news.endpoint, news.incarnation);
+void EndpointBoard::OnNews(const HostId& from, const EndpointNews& report) {
+  State* state = this->Current(report.endpoint, report.incarnation);
   if (state == nullptr) {
     return;
   }
-  state->leaving |= news.leaving;
-  if (news.down) {
+  state->leaving |= report.leaving;
+  if (report.down) {
     state->down.insert(from);
   } else {
     state->down.erase(from);
@@ -33,16 +33,16 @@
 }
 
 void EndpointBoard::OnNews(const HostId& from,
-                           const std::vector<EndpointNews>& news) {
+                           const std::vector<EndpointNews>& reports) {
   for (auto& [id, state] : this->states) {
-    const auto claim = std::ranges::find(news, id, &EndpointNews::endpoint);
-    if (claim == news.end()) {
+    const auto report = std::ranges::find(reports, id, &EndpointNews::endpoint);
+    if (report == reports.end()) {
       state.down.erase(from);
       state.refuted.erase(from);
     }
   }
-  for (const auto& item : news) {
-    this->OnNews(from, item);
+  for (const auto& status : reports) {
+    this->OnNews(from, status);
   }
 }
 
--- a/packages/decisions/endpoint_board.h
+++ b/packages/decisions/endpoint_board.h
@@ -25,10 +25,10 @@
  public:
   // Sets all current reports of a host. An earlier "down" report that is
   // missing now is withdrawn.
-  void OnNews(const HostId& from, const std::vector<EndpointNews>& news);
+  void OnNews(const HostId& from, const std::vector<EndpointNews>& reports);
 
   // Handles a single report of a host, ahead of its next digest.
-  void OnNews(const HostId& from, const EndpointNews& news);
+  void OnNews(const HostId& from, const EndpointNews& report);
 
   // Call when this host got a response from an endpoint.
   void OnAlive(const EndpointId& endpoint, uint64_t incarnation);
--- a/packages/decisions/limit_shares.cc
+++ b/packages/decisions/limit_shares.cc
@@ -24,9 +24,9 @@
 std::string EncodeHolders(const std::vector<LimitHolder>& holders) {
   std::string text;
   for (const LimitHolder& holder : holders) {
-    const auto* named =
+    const auto* entry =
         std::ranges::find(kStateNames, holder.state, &StateName::state);
-    text.append(named->name).append(" ").append(holder.host.Text());
+    text.append(entry->name).append(" ").append(holder.host.Text());
     text += '\n';
   }
   return text;
@@ -38,16 +38,16 @@
   std::string line;
   while (std::getline(lines, line)) {
     const size_t space = line.find(' ');
-    const auto* named = std::ranges::find(
+    const auto* entry = std::ranges::find(
         kStateNames, std::string_view(line).substr(0, space), &StateName::name);
     if (space == std::string::npos || space + 1 == line.size() ||
-        named == kStateNames.end()) {
+        entry == kStateNames.end()) {
       return Fail(
           ErrorKind::kBadRequest,
           "malformed limit holders: expected lines of \"<state> <host>\"");
     }
     holders.push_back(
-        {.host = HostId(line.substr(space + 1)), .state = named->state});
+        {.host = HostId(line.substr(space + 1)), .state = entry->state});
   }
   return holders;
 }
@@ -95,11 +95,11 @@
   }
   if (this->known) {
     if (!this->started) {
-      std::vector<LimitHolder> rest = this->holders;
-      std::erase_if(rest, [this](const LimitHolder& holder) {
+      std::vector<LimitHolder> others = this->holders;
+      std::erase_if(others, [this](const LimitHolder& holder) {
         return holder.host == this->self;
       });
-      return now >= this->next_call ? std::optional(this->Write(rest))
+      return now >= this->next_call ? std::optional(this->Write(others))
                                     : std::nullopt;
     }
     if (auto joining = this->Join(now, present)) {
@@ -191,7 +191,9 @@
              : std::optional(this->Write(std::move(changed)));
 }
 
-void LimitShares::OnReply(Instant now, Instant asked, const StoreReply& reply) {
+void LimitShares::OnReply(Instant now,
+                          Instant requested_at,
+                          const StoreReply& reply) {
   const std::optional<Call> call = std::exchange(this->pending, std::nullopt);
   if (!call) {
     return;
@@ -206,42 +208,43 @@
     return;
   }
   if (call == Call::kRead || reply.outcome == StoreOutcome::kOtherwise) {
-    this->TakeRecord(now, asked, FindRecord(reply, this->options.key));
+    this->TakeRecord(now, requested_at, FindRecord(reply, this->options.key));
     return;
   }
   this->revision = reply.revision;
   this->holders = this->proposed;
   this->listed = this->Find(this->self) != nullptr;
-  this->next_call = asked + this->options.poll;
+  this->next_call = requested_at + this->options.poll;
   if (!this->started) {
     this->known = this->listed;
     return;
   }
   this->written = true;
-  this->TakeHolders(now, asked);
+  this->TakeHolders(now, requested_at);
 }
 
 void LimitShares::TakeRecord(Instant now,
-                             Instant asked,
+                             Instant requested_at,
                              const StoreRecord* record) {
   // A malformed record gives no host a share. It stands for one leaving holder
   // that never acknowledges, so the next joining host replaces it and becomes
   // active only after all shares of the former holders have expired.
-  const auto read =
+  const auto stored =
       record == nullptr
           ? std::vector<LimitHolder>{}
           : DecodeHolders(record->value)
                 .value_or(std::vector<LimitHolder>{
                     {.host = HostId("?"), .state = HolderState::kLeaving}});
   this->revision = record == nullptr ? 0 : record->mod_revision;
-  this->holders = read;
+  this->holders = stored;
   this->known = true;
   this->listed = this->Find(this->self) != nullptr;
-  this->next_call = this->started ? asked + this->options.poll : Instant{};
-  this->TakeHolders(now, asked);
+  this->next_call =
+      this->started ? requested_at + this->options.poll : Instant{};
+  this->TakeHolders(now, requested_at);
 }
 
-void LimitShares::TakeHolders(Instant now, Instant asked) {
+void LimitShares::TakeHolders(Instant now, Instant requested_at) {
   this->known = true;
   const LimitHolder* own = this->Find(this->self);
   if (own == nullptr) {
@@ -255,22 +258,23 @@
   if (this->started && this->written && own != nullptr &&
       own->state == HolderState::kActive) {
     this->active = true;
-    this->confirmed = std::max(this->confirmed.value_or(asked), asked);
+    this->confirmed =
+        std::max(this->confirmed.value_or(requested_at), requested_at);
   }
   std::map<HostId, Instant> leaving;
   for (const LimitHolder& holder : this->holders) {
     if (holder.state == HolderState::kLeaving) {
-      const auto before = this->leaving_since.find(holder.host);
+      const auto previous = this->leaving_since.find(holder.host);
       leaving[holder.host] =
-          before == this->leaving_since.end() ? now : before->second;
+          previous == this->leaving_since.end() ? now : previous->second;
     }
   }
   this->leaving_since = std::move(leaving);
 }
 
 void LimitShares::OnPeerRevision(const HostId& host, int64_t revision) {
-  int64_t& seen = this->acknowledged[host];
-  seen = std::max(seen, revision);
+  int64_t& newest = this->acknowledged[host];
+  newest = std::max(newest, revision);
   if (this->started && revision > this->revision) {
     this->next_call = {};
   }
--- a/packages/decisions/limit_shares.h
+++ b/packages/decisions/limit_shares.h
@@ -94,8 +94,8 @@
                                        const std::set<HostId>& present,
                                        bool cleans_up);
 
-  // Takes the reply to the call of the last Next(), which was made at `asked`.
-  void OnReply(Instant now, Instant asked, const StoreReply& reply);
+  // Takes the reply to the call of the last Next(), made at `requested_at`.
+  void OnReply(Instant now, Instant requested_at, const StoreReply& reply);
 
   // Records that another host has read the record at this revision.
   void OnPeerRevision(const HostId& host, int64_t revision);
@@ -124,8 +124,8 @@
   std::optional<StoreTransaction> CleanUp(Instant now,
                                           const std::set<HostId>& present);
   bool MayActivate(Instant now) const;
-  void TakeRecord(Instant now, Instant asked, const StoreRecord* record);
-  void TakeHolders(Instant now, Instant asked);
+  void TakeRecord(Instant now, Instant requested_at, const StoreRecord* record);
+  void TakeHolders(Instant now, Instant requested_at);
 
   HostId self;
   LimitSharesOptions options;
--- a/packages/limits/limit_gate.cc
+++ b/packages/limits/limit_gate.cc
@@ -98,22 +98,23 @@
   const std::vector<HostId> listed = this->handlers.listed();
   std::set<HostId> present(linked.begin(), linked.end());
   present.insert(listed.begin(), listed.end());
-  const Instant asked = this->clock->Now();
+  const Instant requested_at = this->clock->Now();
   const auto due =
-      this->shares.Next(asked, present, this->handlers.cleans_up());
+      this->shares.Next(requested_at, present, this->handlers.cleans_up());
   if (!due) {
     return;
   }
-  this->store->Transact(*due, [this, asked, weak = std::weak_ptr(this->alive)](
-                                  const StoreReply& reply) {
-    if (!weak.expired()) {
-      this->OnStoreReply(asked, reply);
-    }
-  });
+  this->store->Transact(
+      *due, [this, requested_at,
+             weak = std::weak_ptr(this->alive)](const StoreReply& reply) {
+        if (!weak.expired()) {
+          this->OnStoreReply(requested_at, reply);
+        }
+      });
 }
 
-void LimitGate::OnStoreReply(Instant asked, const StoreReply& reply) {
-  this->shares.OnReply(this->clock->Now(), asked, reply);
+void LimitGate::OnStoreReply(Instant requested_at, const StoreReply& reply) {
+  this->shares.OnReply(this->clock->Now(), requested_at, reply);
   this->RefreshPeers();
   this->CallStore();
 }
@@ -138,13 +139,15 @@
   }
 }
 
-std::optional<LimitVerdict> LimitGate::Take(LimitAsk& ask, Later later) {
-  ask.number = ++this->last_number;
-  const auto verdict = this->limiter.Take(this->clock->Now(), ask);
+std::optional<LimitVerdict> LimitGate::Take(LimitAsk& request,
+                                            Later on_verdict) {
+  request.number = ++this->last_number;
+  const auto verdict = this->limiter.Take(this->clock->Now(), request);
   if (!verdict) {
-    this->waiting[ask.number] = {.ask = ask, .later = std::move(later)};
+    this->waiting[request.number] = {.ask = request,
+                                     .later = std::move(on_verdict)};
   } else if (verdict->granted) {
-    this->CountUse(ask.account, ask.cost);
+    this->CountUse(request.account, request.cost);
   }
   this->Flush();
   return verdict;
@@ -180,16 +183,16 @@
 
 std::vector<LimitUse> LimitGate::Uses() const {
   const Instant now = this->clock->Now();
-  std::vector<LimitUse> uses;
+  std::vector<LimitUse> usages;
   for (const auto& [account, limit] : this->limits) {
     const auto used = this->used.find(account);
-    uses.push_back(
+    usages.push_back(
         {.account = account,
          .limit = limit,
          .used = used == this->used.end() ? 0 : used->second.Sum(now),
          .left = static_cast<int64_t>(this->limiter.Held(now, account))});
   }
-  return uses;
+  return usages;
 }
 
 void LimitGate::OnMessage(const HostId& from, const LimitTokens& message) {
--- a/packages/limits/limit_gate.h
+++ b/packages/limits/limit_gate.h
@@ -7,7 +7,7 @@
 //   LimitGate gate(options, clock, store, metrics, handlers);
 //   gate.SetLimits(limits);
 //   gate.Start();                      // this host accepts requests
-//   if (const auto decision = gate.Take(request, on_decided)) { ... }
+//   if (const auto verdict = gate.Take(request, on_verdict)) { ... }
 //
 // Index
 //   LimitGateOptions, LimitGateHandlers   options and callbacks
@@ -90,9 +90,9 @@
   void RefreshPeers();
 
   // Takes a request's tokens and sets the request's number. Returns nothing if
-  // the request has to wait; `later` is then called with the decision, unless
-  // the wait is cancelled.
-  std::optional<LimitVerdict> Take(LimitAsk& ask, Later later);
+  // the request has to wait; `on_verdict` is then called with the decision,
+  // unless the wait is cancelled.
+  std::optional<LimitVerdict> Take(LimitAsk& request, Later on_verdict);
   void Cancel(int64_t number);
 
   // Returns the tokens of a request that certainly did not run.
@@ -127,7 +127,7 @@
 
   void Tick();
   void CallStore();
-  void OnStoreReply(Instant asked, const StoreReply& reply);
+  void OnStoreReply(Instant requested_at, const StoreReply& reply);
   void TellRevision();
   void Flush();
   void CountUse(const AccountId& account, int64_t cost);
