--- a/packages/decisions/limit_shares.h
+++ b/packages/decisions/limit_shares.h
@@ -5,13 +5,15 @@
 // shares never add up to more than 1, even if hosts have different views of the
 // record:
 //
-//   - a share expires `validity` after the request time of the last read that
+//   - a share expires `share_validity` after the request time of the last read
+//   that
 //     confirmed it, so a host that can't reach the service loses it within a
 //     known time;
 //   - a joining host is counted immediately, but gets its share only when every
 //     other holder has acknowledged a record that counts it, or when the shares
 //     of those that haven't must have expired;
-//   - an absent holder is first marked as leaving and deleted `validity` (plus
+//   - an absent holder is first marked as leaving and deleted `share_validity`
+//   (plus
 //     the clock margin) later; a host that stops holding its share deletes its
 //     entry after it has stopped.
 //
--- a/packages/decisions/window_budget.h
+++ b/packages/decisions/window_budget.h
@@ -1,6 +1,6 @@
-// WindowBudget: how many retries this host may add to a service's load within a
-// sliding window. All hosts together stay within the fleet's budget without
-// communication: each host may retry a fraction of the requests that it
+// FleetRetryBudget: how many retries this host may add to a service's load
+// within a sliding window. All hosts together stay within the fleet's budget
+// without communication: each host may retry a fraction of the requests that it
 // received itself, plus its part of a fixed slack.
 
 #pragma once
