--- a/packages/decisions/digest_delta.cc
+++ b/packages/decisions/digest_delta.cc
@@ -11,7 +11,8 @@
 
 using Values = SentEntries::Values;
 
-// How an endpoint's state is written as a number; 0 is "no news".
+// Flags of an endpoint's encoded state. The first is always set, so that the
+// value differs from 0, which means that there is no entry.
 constexpr int64_t kHeardOf = 1;
 constexpr int64_t kLeavingBit = 2;
 constexpr int64_t kDownBit = 4;
@@ -68,18 +69,18 @@
           .down = (values.second & kDownBit) != 0};
 }
 
-// Makes the entries that say something, sorted by id.
+// Decodes the entries that are not empty, sorted by id.
 template <typename Made, typename Pairs>
 std::vector<Made> MakeEntries(const Pairs& pairs,
                               Made (*make)(const std::string&, Values)) {
-  std::vector<Made> made;
+  std::vector<Made> entries;
   for (const auto& [id, values] : pairs) {
     if (values != Values{}) {
-      made.push_back(make(id, values));
+      entries.push_back(make(id, values));
     }
   }
-  std::ranges::sort(made);
-  return made;
+  std::ranges::sort(entries);
+  return entries;
 }
 
 }  // namespace
@@ -99,7 +100,9 @@
   }
   auto index = static_cast<int32_t>(this->entries.size());
   if (this->free_indexes.empty()) {
-    assert(index < kMaxDigestEntries && "the configuration is over its limit");
+    assert(
+        index < kMaxDigestEntries &&
+        "more ids than kMaxDigestEntries; the configuration exceeds its limit");
     this->entries.emplace_back();
   } else {
     index = *this->free_indexes.begin();
@@ -144,11 +147,11 @@
   return changed;
 }
 
-void SentEntries::Forget(uint64_t known_to_all) {
+void SentEntries::Forget(uint64_t acknowledged) {
   for (size_t i = 0; i < this->entries.size(); ++i) {
     Entry& entry = this->entries[i];
     if (!entry.id.empty() && entry.values == Values{} &&
-        entry.changed_at <= known_to_all) {
+        entry.changed_at <= acknowledged) {
       this->indexes.erase(entry.id);
       this->free_indexes.insert(static_cast<int32_t>(i));
       entry = {};
@@ -190,24 +193,25 @@
   const bool too_many = this->outstanding.Gone() > this->options.max_gone ||
                         this->served.Gone() > this->options.max_gone ||
                         this->endpoints.Gone() > this->options.max_gone;
-  uint64_t known = this->state.sequence;
+  uint64_t acknowledged = this->state.sequence;
   for (auto& [id, receiver] : this->receivers) {
     if (too_many && receiver.acked + 1 < this->state.sequence) {
       receiver.acked = receiver.sent = 0;
     }
-    // Whoever is to be sent the whole state holds nothing back. One that was
-    // sent something but never acked it does: it may have what is gone now.
+    // A receiver whose next delta is the full state needs no removed entries.
+    // One that was sent a state but hasn't acknowledged it does, as it may hold
+    // entries that have been removed since.
     if (receiver.sent > 0) {
-      known = std::min(known, receiver.acked);
+      acknowledged = std::min(acknowledged, receiver.acked);
     }
   }
-  if (known <= this->options.keep_gone) {
+  if (acknowledged <= this->options.keep_gone) {
     return;
   }
-  known -= this->options.keep_gone;
-  this->outstanding.Forget(known);
-  this->served.Forget(known);
-  this->endpoints.Forget(known);
+  acknowledged -= this->options.keep_gone;
+  this->outstanding.Forget(acknowledged);
+  this->served.Forget(acknowledged);
+  this->endpoints.Forget(acknowledged);
 }
 
 void DigestSender::OnConnected(const HostId& receiver,
@@ -225,8 +229,9 @@
     return;
   }
   Receiver& state = found->second;
-  // Entries that were gone may have been forgotten since a lower sequence, so
-  // no delta can lead on from there any more.
+  // An ack below the last full state or the last ack can't be a base: entries
+  // removed after that sequence may have been freed, and no delta would remove
+  // them at the receiver.
   const bool usable = ack.incarnation == this->state.incarnation &&
                       ack.sequence <= this->state.sequence &&
                       ack.sequence >= std::max(state.whole_at, state.acked) &&
@@ -249,11 +254,11 @@
 }
 
 DigestDelta DigestSender::Next(const HostId& receiver) {
-  assert(this->state.sequence > 0 && "call Update() first");
-  Receiver& to = this->receivers[receiver];
-  const uint64_t base = std::exchange(to.sent, this->state.sequence);
+  assert(this->state.sequence > 0 && "Next() needs an Update() first");
+  Receiver& state = this->receivers[receiver];
+  const uint64_t base = std::exchange(state.sent, this->state.sequence);
   if (base == 0) {
-    to.whole_at = this->state.sequence;
+    state.whole_at = this->state.sequence;
   }
   DigestDelta delta{
       .host = this->state.host,
--- a/packages/decisions/endpoint_board.cc
+++ b/packages/decisions/endpoint_board.cc
@@ -4,7 +4,8 @@
 
 namespace hickorystand {
 
-// The state of an endpoint's incarnation; nullptr if a newer one is known.
+// Returns the state of an endpoint's incarnation, or nullptr if a newer
+// incarnation has been reported. A new incarnation resets the state.
 EndpointBoard::State* EndpointBoard::Current(const EndpointId& endpoint,
                                              uint64_t incarnation) {
   State& state = this->states[endpoint];
@@ -17,13 +18,13 @@
   return &state;
 }
 
-void EndpointBoard::OnNews(const HostId& from, const EndpointNews& news) {
-  State* state = this->Current(news.endpoint, news.incarnation);
+void EndpointBoard::OnNews(const HostId& from, const EndpointNews& report) {
+  State* state = this->Current(report.endpoint, report.incarnation);
   if (state == nullptr) {
     return;
   }
-  state->leaving |= news.leaving;
-  if (news.down) {
+  state->leaving |= report.leaving;
+  if (report.down) {
     state->down.insert(from);
   } else {
     state->down.erase(from);
@@ -32,16 +33,16 @@
 }
 
 void EndpointBoard::OnNews(const HostId& from,
-                           const std::vector<EndpointNews>& news) {
+                           const std::vector<EndpointNews>& reports) {
   for (auto& [id, state] : this->states) {
-    const auto claim = std::ranges::find(news, id, &EndpointNews::endpoint);
-    if (claim == news.end()) {
+    const auto report = std::ranges::find(reports, id, &EndpointNews::endpoint);
+    if (report == reports.end()) {
       state.down.erase(from);
       state.refuted.erase(from);
     }
   }
-  for (const auto& item : news) {
-    this->OnNews(from, item);
+  for (const auto& status : reports) {
+    this->OnNews(from, status);
   }
 }
 
--- a/packages/limits/limit_gate.cc
+++ b/packages/limits/limit_gate.cc
@@ -60,7 +60,7 @@
   this->Tick();
 }
 
-// Starts and stops to hold a share, and does what is due.
+// Starts or stops the share as needed, and runs all due work.
 void LimitGate::Tick() {
   const bool wanted = this->limited && this->started;
   if (wanted != std::exchange(this->holding, wanted)) {
@@ -98,27 +98,29 @@
   const std::vector<HostId> listed = this->handlers.listed();
   std::set<HostId> present(linked.begin(), linked.end());
   present.insert(listed.begin(), listed.end());
-  const Instant asked = this->clock->Now();
+  const Instant requested_at = this->clock->Now();
   const auto due =
-      this->shares.Next(asked, present, this->handlers.cleans_up());
+      this->shares.Next(requested_at, present, this->handlers.cleans_up());
   if (!due) {
     return;
   }
-  this->store->Transact(*due, [this, asked, weak = std::weak_ptr(this->alive)](
-                                  const StoreReply& reply) {
-    if (!weak.expired()) {
-      this->OnStoreReply(asked, reply);
-    }
-  });
+  this->store->Transact(
+      *due, [this, requested_at,
+             weak = std::weak_ptr(this->alive)](const StoreReply& reply) {
+        if (!weak.expired()) {
+          this->OnStoreReply(requested_at, reply);
+        }
+      });
 }
 
-void LimitGate::OnStoreReply(Instant asked, const StoreReply& reply) {
-  this->shares.OnReply(this->clock->Now(), asked, reply);
+void LimitGate::OnStoreReply(Instant requested_at, const StoreReply& reply) {
+  this->shares.OnReply(this->clock->Now(), requested_at, reply);
   this->RefreshPeers();
   this->CallStore();
 }
 
-// A host that joins gets its share once all others have read of it.
+// Acknowledges the newest record read to the linked hosts; a joining host gets
+// its share only when all other holders have done so.
 void LimitGate::TellRevision() {
   const int64_t revision = this->shares.Revision();
   const std::vector<HostId> linked = this->handlers.linked();
@@ -137,13 +139,15 @@
   }
 }
 
-std::optional<LimitVerdict> LimitGate::Take(LimitAsk& ask, Later later) {
-  ask.number = ++this->last_number;
-  const auto verdict = this->limiter.Take(this->clock->Now(), ask);
+std::optional<LimitVerdict> LimitGate::Take(LimitAsk& request,
+                                            Later on_verdict) {
+  request.number = ++this->last_number;
+  const auto verdict = this->limiter.Take(this->clock->Now(), request);
   if (!verdict) {
-    this->waiting[ask.number] = {.ask = ask, .later = std::move(later)};
+    this->waiting[request.number] = {.ask = request,
+                                     .later = std::move(on_verdict)};
   } else if (verdict->granted) {
-    this->CountUse(ask.account, ask.cost);
+    this->CountUse(request.account, request.cost);
   }
   this->Flush();
   return verdict;
@@ -179,16 +183,16 @@
 
 std::vector<LimitUse> LimitGate::Uses() const {
   const Instant now = this->clock->Now();
-  std::vector<LimitUse> uses;
+  std::vector<LimitUse> usages;
   for (const auto& [account, limit] : this->limits) {
     const auto used = this->used.find(account);
-    uses.push_back(
+    usages.push_back(
         {.account = account,
          .limit = limit,
          .used = used == this->used.end() ? 0 : used->second.Sum(now),
          .left = static_cast<int64_t>(this->limiter.Held(now, account))});
   }
-  return uses;
+  return usages;
 }
 
 void LimitGate::OnMessage(const HostId& from, const LimitTokens& message) {
@@ -207,8 +211,9 @@
   this->Flush();
 }
 
-// Sends and tells what the last calls led to. A request that is told may end at
-// once and give tokens back, so this goes on until nothing is left.
+// Sends the pending messages and delivers the pending decisions. A request may
+// end in its callback and return tokens, which adds effects, so this repeats
+// until there are none.
 void LimitGate::Flush() {
   LimitEffects effects = this->limiter.TakeEffects();
   while (!effects.Empty()) {
