--- a/packages/decisions/configuration.h
+++ b/packages/decisions/configuration.h
@@ -1,13 +1,13 @@
-// The fleet's configuration as every part of the program sees it: one
-// immutable value per accepted revision.
+// The fleet's configuration in memory: one immutable value per accepted
+// revision.
 //
 // Index
 //   Account, AccountKey, Service, Endpoint, Site   the records
-//   Configuration                                  all of them at one revision
-//   LimitsOf                                       its accounts' limits
+//   Configuration                                  all records at one revision
+//   LimitsOf                                       rate limits of its accounts
 //
-// How records are written down for operators and for the key-value service is
-// the business of configuration_codec.h.
+// configuration_records.h defines the text form of records for operators,
+// configuration_codec.h their layout in the key-value service.
 
 #pragma once
 
@@ -24,77 +24,78 @@
 
 namespace hickorystand {
 
-// One customer of the fleet.
+// A client account.
 struct Account {
   AccountId id;
-  double weight = 1;          // share of contended capacity, relative to others
-  int64_t max_in_flight = 0;  // requests at once under contention; 0: no limit
-  double rate = 0;            // units a second over all hosts; 0: no limit
-  double burst = 0;           // units beyond the rate at once
-  LimitUnit unit = LimitUnit::kTokens;  // of rate and burst
+  double weight = 1;          // relative share of contended capacity
+  int64_t max_in_flight = 0;  // concurrent, if contended; 0: no limit
+  double rate = 0;            // units per second over all hosts; 0: no limit
+  double burst = 0;           // units allowed at once beyond the rate
+  LimitUnit unit = LimitUnit::kTokens;  // unit of rate and burst
 
   auto operator<=>(const Account&) const = default;
 };
 
-// A key by which callers prove that they belong to an account.
+// An API key that authenticates callers as an account.
 struct AccountKey {
   std::string
-      hash;  // SHA-256 of the key in lower-case hex; the key is not kept
+      hash;  // SHA-256 of the key in lower-case hex; the key is not stored
   AccountId account;
 
   auto operator<=>(const AccountKey&) const = default;
 };
 
-// What kind of work a service does, and so which protocol its endpoints speak.
+// The kind of a service, which determines the protocol of its endpoints.
 enum class ServiceKind { kLanguage, kPlain };
 
 // A language model or a plain service.
 struct Service {
-  ServiceId id;  // for language services, the "model" that callers name
+  ServiceId id;  // for language services, the "model" of a request
   ServiceKind kind = ServiceKind::kLanguage;
-  bool fences = false;  // its endpoints refuse an older fencing number
-  int64_t floor = 1;    // endpoints that must stay up per data centre
-  int64_t context_tokens = 32768;                // longest prompt plus answer
-  Duration deadline = std::chrono::seconds(30);  // to the first byte
+  bool fences = false;  // its endpoints reject older fencing numbers
+  int64_t floor = 1;    // minimum number of endpoints per data centre
+  int64_t context_tokens = 32768;  // maximum of prompt plus answer
+  Duration deadline = std::chrono::seconds(30);  // for the first byte
   // HTTP methods of a plain service whose calls are idempotent.
   std::vector<std::string> idempotent_methods = {"GET", "HEAD"};
-  // How long the same non-idempotent request counts as sent again.
+  // How long a repeated non-idempotent request is treated as a duplicate.
   Duration duplicate_window = std::chrono::minutes(10);
-  std::string status_path;  // where a caller looks up an unknown outcome
+  std::string status_path;  // for callers to look up an unknown outcome
 
   auto operator<=>(const Service&) const = default;
 };
 
-// What part of language work an endpoint does.
+// Which phases of inference an endpoint runs; kPlain for plain services.
 enum class EndpointRole { kMixed, kPrefill, kDecode, kPlain };
 
-// One back end.
+// One back-end process of a service.
 struct Endpoint {
   EndpointId id;
   ServiceId service;
   DataCentreId data_centre;
   SocketAddress address;
   ZoneId zone;
-  EndpointRole role = EndpointRole::kMixed;  // at start; orders change it
-  bool cheap = false;                        // may be reclaimed at any moment
+  EndpointRole role = EndpointRole::kMixed;  // at start; orders may change it
+  bool cheap = false;  // spot: may be reclaimed at any time
   double cost_per_hour = 1;
 
   auto operator<=>(const Endpoint&) const = default;
 };
 
-// What holds at one data centre, after its overlay.
+// Settings of one data centre, with its overlay applied.
 struct Site {
   DataCentreId id;
-  // How long keys stay valid while no newer configuration can be heard of.
+  // How long keys stay valid while the data centre can't learn of a newer
+  // configuration.
   Duration cut_off_key_limit = std::chrono::hours(24);
 
   auto operator<=>(const Site&) const = default;
 };
 
-// All records at one revision. Never changed once built: a new revision is a
-// new value, handed from task to task as a shared pointer to const.
+// All records at one revision. Immutable once built: a new revision is a new
+// value, shared between tasks as a pointer to const.
 struct Configuration {
-  int64_t revision = 0;  // rises by one with every accepted change
+  int64_t revision = 0;  // increases with every accepted change
   std::map<AccountId, Account> accounts;
   std::map<std::string, AccountKey> keys;  // by hash
   std::map<ServiceId, Service> services;
@@ -106,7 +107,7 @@
 
 using ConfigurationPtr = std::shared_ptr<const Configuration>;
 
-// The limits of the accounts that have one.
+// The rate limits of the accounts with a rate above 0.
 AccountLimits LimitsOf(const Configuration& configuration);
 
 }  // namespace hickorystand
--- a/packages/decisions/configuration_codec.cc
+++ b/packages/decisions/configuration_codec.cc
@@ -15,16 +15,16 @@
 
 constexpr const char* kBucketPrefix = "/hickorystand/config/bucket/";
 constexpr size_t kMaxNamedChanges = 5;  // in a summary
-constexpr int kMaxFailures = 5;         // reads that fail in a row
+constexpr int kMaxFailures = 5;         // consecutive, of reads or of writes
 
 Error Broken(const std::string& what) {
   return {ErrorKind::kBadSetting,
-          "the stored configuration is broken: " + what,
+          "the stored configuration is invalid: " + what,
           {}};
 }
 
-// The names of changed records for people. Keys go by their account, as not
-// even their hash helps anybody.
+// A summary of changed records for display. Keys are shown by the first digits
+// of their hash only, as the whole hash is of no use to a reader.
 std::string Summarise(const std::vector<RecordChange>& changes) {
   std::string text;
   for (const RecordChange& change :
@@ -41,7 +41,7 @@
   return text;
 }
 
-// Whether one of the changes has a value in a field.
+// Whether a field of any of the changes equals a value.
 template <typename Value>
 bool Remembers(const std::vector<AcceptedChange>& changes,
                Value AcceptedChange::* field,
@@ -59,7 +59,7 @@
   return buckets;
 }
 
-// The faults of a configuration as one error; nothing if it is right.
+// All faults of a configuration as one error; nullopt if it is valid.
 std::optional<Error> CheckWhole(const Configuration& configuration) {
   const std::vector<RecordFault> faults = CheckReferences(configuration);
   if (faults.empty()) {
@@ -123,7 +123,7 @@
   if (!json || !json->At("revision").IsInteger() ||
       buckets.size() != kBucketCount ||
       !std::ranges::all_of(buckets, &Json::IsInteger)) {
-    return tl::unexpected(Broken("head can't be read"));
+    return tl::unexpected(Broken("head can't be parsed"));
   }
   ConfigurationHead head{.revision = json->At("revision").Integer()};
   std::ranges::transform(buckets, head.buckets.begin(),
@@ -132,7 +132,7 @@
     return revision >= 0 && revision <= head.revision;
   });
   if (!sound || head.revision < 1) {
-    return tl::unexpected(Broken("head's revisions contradict each other"));
+    return tl::unexpected(Broken("the revisions in head are inconsistent"));
   }
   for (const Json& item : json->At("recent").Items()) {
     head.recent.push_back({.revision = item.At("revision").Integer(),
@@ -163,7 +163,7 @@
   const auto json = Json::Parse(text);
   if (!json || !json->At("revision").IsInteger() ||
       !json->At("records").IsObject()) {
-    return tl::unexpected(Broken("a bucket can't be read"));
+    return tl::unexpected(Broken("a bucket can't be parsed"));
   }
   ConfigurationBucket bucket{.revision = json->At("revision").Integer()};
   const Json records = json->At("records");
@@ -175,7 +175,7 @@
     const Json fields = records.At(name);
     for (const std::string& field : fields.Names()) {
       if (!fields.At(field).IsText()) {
-        return tl::unexpected(Broken(name + ": " + field + " is no text"));
+        return tl::unexpected(Broken(name + ": " + field + " is not a string"));
       }
       record->fields[field] = fields.At(field).Text();
     }
@@ -194,7 +194,7 @@
     if (held != head.buckets.at(i)) {
       return Fail(ErrorKind::kStale,
                   "bucket " + std::to_string(i) + " is at revision " +
-                      std::to_string(held) + ", head wants " +
+                      std::to_string(held) + ", head lists " +
                       std::to_string(head.buckets.at(i)));
     }
     if (found == buckets.end()) {
@@ -203,7 +203,7 @@
     for (const Record& record : found->second.records) {
       if (BucketOfRecord(record.Name()) != i) {
         return tl::unexpected(
-            Broken(record.Name() + " lies in the wrong bucket"));
+            Broken(record.Name() + " is in the wrong bucket"));
       }
       if (const auto put = PutRecord(whole, record); !put) {
         return tl::unexpected(Broken(put.error().message));
@@ -283,7 +283,7 @@
                                 .value = WriteBucket(after[i])});
     if (transaction.then.back().value.size() > kMaxStoredValue) {
       return Fail(ErrorKind::kTooLarge,
-                  "the configuration is larger than the service can hold");
+                  "a bucket of the configuration exceeds the value size limit");
     }
   }
   transaction.then.push_back({.kind = StoreOperation::Kind::kPut,
@@ -363,8 +363,9 @@
                  "changed"));
 }
 
-// Judges a change that found another head than it was made from. It may be its
-// own, written by a try whose reply was lost, with others on top by now.
+// The result of a write whose condition failed, as head had changed. The new
+// head may contain this very change, if an earlier attempt took effect and its
+// reply was lost; other changes may have followed since.
 Result<ConfigurationChange::Applied> ConfigurationChange::Conclude(
     const StoreReply& reply) const {
   const auto stored = ReadStoredConfiguration(reply);
@@ -375,8 +376,8 @@
   if (Remembers(recent, &AcceptedChange::token, this->author.token)) {
     return this->applied;
   }
-  // If the change that this one was made from is still remembered, so are all
-  // that came after it, and this one is not among them.
+  // If head still lists the change that this one was based on, it also lists
+  // all later ones, and so this one did not take effect.
   const auto& before = this->base.head.recent;
   const bool remembered =
       before.empty() ||
--- a/packages/decisions/configuration_codec.h
+++ b/packages/decisions/configuration_codec.h
@@ -1,18 +1,18 @@
-// How the configuration lies in the key-value service, and how it is changed
-// there.
+// Layout of the configuration in the key-value service, and the protocol for
+// changing it.
 //
-// Records are spread by a hash of their name over 64 buckets, each one value
-// that carries the revision at which it last changed. `head` holds the revision
-// in force and that of every bucket, so a state is known to be whole. A change
-// is one transaction on condition that head is still the one it was made from;
-// it writes the buckets that differ and head: 65 writes at most, below the
-// service's limit of 128. So a change of one record costs each host one bucket,
-// and no history has to be kept.
+// Records are hashed by name into 64 buckets. Each bucket is one value that
+// carries the revision at which it last changed. `head` holds the revision in
+// force and the revision of every bucket, so that a reader can verify that it
+// has a complete state. A change is one compare-and-swap transaction on head;
+// it writes head and the buckets that differ: 65 writes at most, below the
+// service's limit of 128. A change of one record therefore costs each host one
+// bucket, and no history has to be stored.
 //
 // Index
-//   ConfigurationHead, StoredConfiguration   what lies there
-//   AssembleConfiguration                    from values to a checked whole
-//   ConfigurationChange                      one operator's change, to its end
+//   ConfigurationHead, StoredConfiguration   the stored state
+//   AssembleConfiguration                    builds and checks a configuration
+//   ConfigurationChange                      one operator's change
 
 #pragma once
 
@@ -36,35 +36,37 @@
 inline constexpr const char* kConfigurationPrefix = "/hickorystand/config/";
 inline constexpr const char* kHeadKey = "/hickorystand/config/head";
 
-// The longest value that the service holds, with room for its framing.
+// Maximum size of a stored value in bytes. The service's limit is higher by its
+// framing.
 inline constexpr size_t kMaxStoredValue = 1'000'000;
 
 // /hickorystand/config/bucket/NN
 std::string BucketKey(int bucket);
 
-// The bucket of a key; nothing if it is the key of none.
+// The bucket number of a bucket's key; nullopt for any other key.
 std::optional<int> BucketOfKey(const std::string& key);
 
-// The bucket in which a record lies.
+// The bucket that stores the record of a name (KIND/ID).
 int BucketOfRecord(const std::string& name);
 
-// One accepted change, for whoever comes after it.
+// One accepted change, as listed in head.
 struct AcceptedChange {
   int64_t revision = 0;
-  std::string token;    // unique to the try that made it
-  std::string author;   // for people
-  std::string summary;  // what it changed, for people
+  std::string token;    // unique per ConfigurationChange; shared by its retries
+  std::string author;   // for display
+  std::string summary;  // of the changed records, for display
 
   auto operator<=>(const AcceptedChange&) const = default;
 };
 
-// How many accepted changes head remembers. A change whose reply was lost must
-// be found among them, so it is more than can follow within one try's time.
+// How many accepted changes head lists. A writer whose reply was lost looks for
+// its change among them, so the number exceeds the changes that can be accepted
+// while one write is being retried.
 inline constexpr size_t kRememberedChanges = 32;
 
-// What head says.
+// The content of head.
 struct ConfigurationHead {
-  int64_t revision = 0;  // rises by one with every accepted change
+  int64_t revision = 0;  // increases with every accepted change
   std::array<int64_t, kBucketCount> buckets{};  // revision of each; 0: empty
   std::vector<AcceptedChange> recent;           // newest first
 
@@ -85,82 +87,89 @@
 std::string WriteBucket(const ConfigurationBucket& bucket);
 Result<ConfigurationBucket> ReadBucket(const std::string& text);
 
-// The configuration with what must be known to change it.
+// The stored configuration with what a change to it needs.
 struct StoredConfiguration {
   ConfigurationHead head;
-  int64_t head_mod_revision = 0;  // of the service; 0: nothing is stored yet
+  int64_t head_mod_revision = 0;  // mod revision of kHeadKey; 0: none stored
   ConfigurationPtr configuration = std::make_shared<Configuration>();
 };
 
-// Values by key, as they come from the service or from peers.
+// Values by key, as received from the service or from peers.
 using ConfigurationValues = std::map<std::string, std::string>;
 
-// Puts a whole configuration together: every bucket must be at the revision
-// that head gives for it, and every record must be right. kStale if a bucket
-// doesn't belong to head, which happens when values of two moments meet.
+// Builds a configuration from head and its buckets, and validates it. Fails
+// with kStale if a bucket isn't at the revision that head lists for it, which
+// happens when values were read at different times; with kBadSetting if a
+// record is invalid.
 Result<ConfigurationPtr> AssembleConfiguration(
     const ConfigurationHead& head,
     const std::map<int, ConfigurationBucket>& buckets);
 
-// Reads the whole state.
+// The transaction that reads the whole stored state.
 StoreTransaction ReadConfigurationTransaction();
 
-// What was read. No head means that nothing was ever stored: revision 0.
+// Parses the reply to ReadConfigurationTransaction(). Without a head nothing
+// has been stored yet, and the result is revision 0.
 Result<StoredConfiguration> ReadStoredConfiguration(const StoreReply& reply);
 
-// Who changes the configuration.
+// Identifies the author of a change.
 struct ChangeAuthor {
   std::string name;   // such as maria@10.0.0.7
-  std::string token;  // unique to this try
-  // The change gets a revision above this one as well. After the service was
-  // put back to a backup, hosts hold a higher revision than it does, and would
-  // ignore a change that merely counts on from the backup.
+  std::string token;  // unique per ConfigurationChange
+  // The change also gets a revision above this one. After the service was
+  // restored from a backup, hosts hold a higher revision than the service, and
+  // would ignore a change that is numbered from the backup's revision.
   int64_t above_revision = 0;
 };
 
-// The transaction that turns the stored configuration into the one wanted. Its
-// other branch reads the state that stood in the way. Both configurations must
-// be right; records that don't differ are left alone.
+// The transaction that replaces the stored configuration by `wanted`, on
+// condition that head is unchanged. Its else branch reads the conflicting
+// state. Writes only the buckets whose records differ. Fails with kBadSetting
+// if `wanted` is invalid, and with kTooLarge if a bucket exceeds
+// kMaxStoredValueBytes.
 Result<StoreTransaction> MakeApplyTransaction(
     const StoredConfiguration& current,
     const Configuration& wanted,
     const ChangeAuthor& author);
 
-// One operator's change, from the first read to a certain end.
+// A state machine for one operator's change, from the first read to a final
+// result. The caller runs the transactions.
 //
 //   ConfigurationChange change(author, edit);
 //   StoreTransaction next = change.Start();
 //   while (true) {
 //     const auto step = change.OnReply(Run(next));
-//     ...  // another transaction, or the end
+//     ...  // run another transaction, or stop
 //   }
 class ConfigurationChange {
  public:
-  // Makes the wanted configuration from the one in force, or says why not.
+  // Returns the wanted configuration, given the stored one, or an error.
   using Edit = std::function<Result<Configuration>(const Configuration&)>;
 
-  // How the change ended well.
+  // Result of a successful change.
   struct Applied {
     int64_t revision = 0;
-    std::vector<RecordChange> changes;  // empty: nothing was to be changed
+    std::vector<RecordChange> changes;  // empty: nothing to change
 
     bool operator==(const Applied&) const = default;
   };
 
-  // What to do next: run a transaction, or stop with a result.
+  // The next step: a transaction to run, or the final result.
   using Step = std::variant<StoreTransaction, Result<Applied>>;
 
   ConfigurationChange(ChangeAuthor author, Edit edit);
 
-  // The first read.
+  // The first transaction, a read.
   StoreTransaction Start();
 
-  // Takes the reply to the transaction asked for last. When a reply was lost
-  // the same transaction goes out again: its condition lets it take effect once
-  // at most, and head remembers by its token that it did. A change that another
-  // operator's came before ends as kConflict that says who changed what, and
-  // nothing of either is lost. kOutcomeUnknown is the end only when the service
-  // stays out of reach; whoever waits between two steps backs off.
+  // Handles the reply to the last transaction. If a reply was lost, the same
+  // transaction is sent again: its condition lets it take effect at most once,
+  // and its token in head shows that it did. If another operator's change was
+  // accepted first, the result is kConflict with a list of those changes; the
+  // other change stays in force and nothing of this one is applied. The result
+  // is kOutcomeUnknown only if the service stays unreachable after a write was
+  // sent, or if head no longer lists enough changes to tell. Callers should
+  // back off between retries.
   Step OnReply(const StoreReply& reply);
 
  private:
@@ -177,8 +186,8 @@
   StoredConfiguration base;
   StoreTransaction transaction;
   Applied applied;
-  bool in_doubt = false;  // a try was sent whose reply never came
-  int failures = 0;       // in a row
+  bool in_doubt = false;  // a write was sent and its reply was lost
+  int failures = 0;       // consecutive
 };
 
 }  // namespace hickorystand
--- a/packages/decisions/configuration_records.cc
+++ b/packages/decisions/configuration_records.cc
@@ -23,15 +23,16 @@
 constexpr size_t kHashLength = 64;  // SHA-256 in hex
 constexpr int64_t kMaxEndpointsOfService = 10000;
 constexpr int64_t kMaxContextTokens = 10'000'000;
-constexpr double kMaxRate = 1e9;    // of an account, units a second
+constexpr double kMaxRate = 1e9;    // of an account, units per second
 constexpr double kMaxBurst = 1e10;  // units
 
 // ---------------------------------------------------------------------------
-// Texts of single values. Each type has Read(), which answers why a text is
-// wrong or empty, and Write().
+// Conversion of single values. Each type has Read(), which parses a text and
+// returns false if it is invalid, Write(), and Allowed(), which describes the
+// valid texts.
 // ---------------------------------------------------------------------------
 
-// What a field's text is held against.
+// Range of a number, or of a duration in seconds.
 struct Limits {
   double minimum = 0;
   double maximum = std::numeric_limits<double>::max();
@@ -161,7 +162,7 @@
   return "IP:PORT or [IPv6]:PORT";
 }
 
-// A path of an HTTP service, or nothing.
+// A path of an HTTP service, or an empty string.
 bool Read(const std::string& text, Limits /*limits*/, std::string& value) {
   value = text;
   return text.empty() ||
@@ -205,7 +206,7 @@
   return "HTTP methods in capitals, separated by ';'";
 }
 
-// The names of an enumeration's values, in their order.
+// The names of the values of an enumeration, in the order of the values.
 template <typename Enum>
 constexpr std::array<std::string_view, 0> kNames{};
 template <>
@@ -244,10 +245,10 @@
 }
 
 // ---------------------------------------------------------------------------
-// The table of fields: for each kind of record, its members with their limits.
+// The table of fields: for each kind of record, its members with their ranges.
 // ---------------------------------------------------------------------------
 
-// A field of a kind of record with its type gone: how to read and write it.
+// A field of record type T, with the member's type erased.
 template <typename T>
 struct Field {
   FieldSchema schema;
@@ -255,7 +256,7 @@
   std::function<std::string(const T&)> write;
 };
 
-// How a field is described; `Limits` for numbers and lengths of time.
+// Options of a field; `limits` applies to numbers and durations.
 struct FieldOptions {
   Limits limits;
   bool required = false;
@@ -379,10 +380,10 @@
 }
 
 // ---------------------------------------------------------------------------
-// The kinds of records: where each lives in a Configuration.
+// The kinds of records, with the member of Configuration that holds each.
 // ---------------------------------------------------------------------------
 
-// One kind with its type gone.
+// A kind of record, with the record's type erased.
 struct Kind {
   RecordSchema schema;
   std::function<std::string(const std::string& field, const std::string& text)>
@@ -396,7 +397,7 @@
   return "'" + text + "' is not allowed; " + allowed + " is";
 }
 
-// Reads a record's fields; the error names the first wrong one.
+// Parses a record's fields; the error names the first invalid one.
 template <typename T>
 Result<T> ReadFields(const Record& record, T value) {
   for (const Field<T>& field : FieldsOf(static_cast<const T*>(nullptr))) {
@@ -556,7 +557,7 @@
                        std::string_view field,
                        const std::string& text) {
   const Kind* found = FindKind(kind);
-  assert(found != nullptr && "there is no such kind of record");
+  assert(found != nullptr && "unknown kind of record");
   return found->check(std::string(field), text);
 }
 
@@ -594,7 +595,7 @@
                   std::string_view kind,
                   const std::string& id) {
   const Kind* found = FindKind(kind);
-  assert(found != nullptr && "there is no such kind of record");
+  assert(found != nullptr && "unknown kind of record");
   return found->remove(configuration, id);
 }
 
--- a/packages/decisions/configuration_records.h
+++ b/packages/decisions/configuration_records.h
@@ -1,15 +1,15 @@
-// The configuration as records of named texts: one notation for the files that
-// operators write, for the key-value service and for the command line.
+// The text form of the configuration: records of named string fields. Used by
+// the operators' files, the key-value service and the command line.
 //
-// A record is named by its kind and id, such as account/acme; each of its
-// fields is a text that one table describes (type, what is allowed, default).
+// A record is named by its kind and id, such as account/acme. One table defines
+// the type, the allowed values and the default of each field.
 //
 // Index
-//   FieldSchema, RecordSchema   what may stand in a record; AllRecordSchemas()
+//   FieldSchema, RecordSchema   fields of each kind; AllRecordSchemas()
 //   Record                      one record as text
-//   ListRecords, AddRecord      between Configuration and records
-//   CheckReferences             what no single record can show
-//   DiffConfigurations          what a change changes
+//   ListRecords, AddRecord      conversion between Configuration and records
+//   CheckReferences             checks across records
+//   DiffConfigurations          the records that differ
 
 #pragma once
 
@@ -24,14 +24,14 @@
 
 namespace hickorystand {
 
-// One field of a kind of record, for checks, help and documentation.
+// One field of a kind of record, for validation, help and documentation.
 struct FieldSchema {
   std::string name;
-  std::string allowed;   // in words, for messages: "a number from 0 to 100"
-  std::string fallback;  // its text when it is left out
+  std::string allowed;   // for messages: "a number from 0 to 100"
+  std::string fallback;  // default, as text; empty if required
   std::string help;      // one sentence
   bool required = false;
-  bool site_differs = false;  // a site's overlay may state it
+  bool site_differs = false;  // a site's overlay may set it
 
   bool operator==(const FieldSchema&) const = default;
 };
@@ -42,17 +42,17 @@
   std::string help;
   std::vector<FieldSchema> fields;
 
-  // The field of a name; null if there is none.
+  // The field with a name; null if there is none.
   const FieldSchema* Find(std::string_view name) const;
 
   bool operator==(const RecordSchema&) const = default;
 };
 
-// All kinds, in the order in which they can be added: what others refer to
-// comes first.
+// All kinds, each after the kinds that it refers to, which is the order in
+// which records can be added.
 std::span<const RecordSchema> AllRecordSchemas();
 
-// The schema of a kind; null if there is none.
+// The schema of a kind; null if the kind is unknown.
 const RecordSchema* FindRecordSchema(std::string_view kind);
 
 // One record as text.
@@ -67,45 +67,49 @@
   auto operator<=>(const Record&) const = default;
 };
 
-// A role's name, as operators write it and as orders spell it.
+// The name of a role in configuration files and in orders.
 std::string NameOfRole(EndpointRole role);
 
-// What a limit counts, as operators write it.
+// The name of a limit's unit in configuration files.
 std::string NameOfUnit(LimitUnit unit);
 
-// Splits kind/id; kBadRequest if the kind is unknown or the id is none.
+// Parses kind/id into a record without fields; kBadRequest if the kind is
+// unknown or the id is invalid.
 Result<Record> RecordFromName(std::string_view name);
 
-// Why a text can't be an id of a record; empty if it can. Ids travel in URLs,
-// file sections and logs, so they are letters, digits and . _ - only.
+// Validates an id; returns an error message, or an empty string if it is valid.
+// Ids appear in URLs, file sections and logs, so they may contain only letters,
+// digits and . _ -
 std::string CheckId(std::string_view kind, std::string_view id);
 
-// Why a text can't stand in a field, with what is allowed; empty if it can.
-// An unknown kind or field is a fault of the program and is asserted.
+// Validates the text of a field; returns an error message that names the
+// allowed values, or an empty string if it is valid. An unknown kind or field
+// is a programming error and is asserted.
 std::string CheckField(std::string_view kind,
                        std::string_view field,
                        const std::string& text);
 
-// All records of a configuration, sorted by name, with every field stated: a
-// later program's defaults must not change what was accepted under these.
+// All records of a configuration, sorted by name. Every field is written out,
+// so that new defaults in a later version don't change an accepted
+// configuration.
 std::vector<Record> ListRecords(const Configuration& configuration);
 
-// Puts a record into a configuration, in place of one of the same name. Fields
-// left out get their defaults; ones that the schema lacks are passed over, as a
-// newer program may have written them. The error names the field and what is
-// allowed there.
+// Adds a record to a configuration, or replaces the one of the same name.
+// Missing fields get their defaults; unknown fields are ignored, as a newer
+// version may have written them. The error (kBadSetting) names the field and
+// its allowed values.
 Result<Configuration> AddRecord(Configuration configuration,
                                 const Record& record);
 
-// As AddRecord(), in place.
+// Same as AddRecord(), in place; true on success.
 Result<bool> PutRecord(Configuration& configuration, const Record& record);
 
-// Takes a record out; false if there was none.
+// Removes a record; false if there was none.
 bool RemoveRecord(Configuration& configuration,
                   std::string_view kind,
                   const std::string& id);
 
-// What is wrong with a field of a record in view of the others.
+// A field that is inconsistent with the rest of the configuration.
 struct RecordFault {
   std::string record;  // kind/id
   std::string field;
@@ -117,11 +121,11 @@
   auto operator<=>(const RecordFault&) const = default;
 };
 
-// References between records that lead nowhere and combinations that make no
-// sense; empty if all is well.
+// Checks references between records and combinations of fields; empty if the
+// configuration is consistent.
 std::vector<RecordFault> CheckReferences(const Configuration& configuration);
 
-// What became of one record between two configurations.
+// The difference of one record between two configurations.
 struct RecordChange {
   enum class Kind { kAdded, kChanged, kRemoved };
 
@@ -136,8 +140,8 @@
   bool operator==(const RecordChange&) const = default;
 };
 
-// All changes between two configurations, sorted by name. Revisions don't
-// count.
+// All differences between two configurations, sorted by name. Ignores their
+// revisions.
 std::vector<RecordChange> DiffConfigurations(const Configuration& from,
                                              const Configuration& to);
 
--- a/packages/decisions/configuration_replica.cc
+++ b/packages/decisions/configuration_replica.cc
@@ -15,11 +15,12 @@
 constexpr Duration kFirstRetry = std::chrono::milliseconds(200);
 constexpr Duration kLongestRetry = std::chrono::seconds(5);
 
-// The client of the service answers within its own timeout. An answer that is
-// missing for as long as this was lost on the way to the replica.
+// The client of the service replies within its own, shorter timeout. A reply
+// that is missing for this long was lost between the client and the replica.
 constexpr Duration kReadLost = std::chrono::seconds(15);
 
-// How long the parts of one change may take to arrive before all is read.
+// How long to wait for the missing buckets of a change before the whole state
+// is read.
 constexpr Duration kPartsTimeout = std::chrono::milliseconds(300);
 
 void Append(ReplicaActions& to, ReplicaActions more) {
@@ -43,7 +44,8 @@
                ? ReplicaActions{{.kind = Kind::kStopWatch}}
                : ReplicaActions{};
   }
-  // A watch starts from a read, or what changed in between would be missed.
+  // The watch starts at the revision of a read; otherwise changes between the
+  // two would be missed.
   return this->ReadAll(now);
 }
 
@@ -89,7 +91,8 @@
         return this->Stage(record.key, record.value);
       });
   if (!whole) {
-    this->IgnoreBroken(now, {ErrorKind::kBadSetting, "a value is broken", {}});
+    this->IgnoreBroken(now,
+                       {ErrorKind::kBadSetting, "a value can't be parsed", {}});
     this->next_read = now + kLongestRetry;
   } else {
     if (this->IsInForce(this->staged.head)) {
@@ -118,8 +121,8 @@
 ReplicaActions ConfigurationReplica::OnWatchLost(Instant now) {
   this->watch_open = false;
   ++this->counts.watches_lost;
-  // Many watches are lost at once when the service restarts, and their hosts
-  // must not all come back at once.
+  // A restart of the service ends many watches at once; backoff with jitter
+  // keeps the hosts from reconnecting all at the same time.
   this->next_read = now + this->backoff.Next();
   return {};
 }
@@ -137,9 +140,10 @@
     const std::vector<ReplicaValue>& values) {
   for (const ReplicaValue& value : values) {
     if (!this->Stage(value.key, value.text)) {
-      this->IgnoreBroken(now, {ErrorKind::kBadSetting,
-                               "a value from " + peer.Text() + " is broken",
-                               {}});
+      this->IgnoreBroken(now,
+                         {ErrorKind::kBadSetting,
+                          "a value from " + peer.Text() + " can't be parsed",
+                          {}});
       return {};
     }
   }
@@ -153,8 +157,9 @@
 ReplicaActions ConfigurationReplica::OnTick(Instant now) {
   ReplicaActions actions;
   if (!std::exchange(this->started, true)) {
-    // Peers are given a moment to say what they have. When a whole data centre
-    // restarts, its hosts would otherwise all read everything at once.
+    // Delay the first read, so that peers can report their revisions first.
+    // Otherwise all hosts of a restarting data centre would read the whole
+    // state at once.
     this->next_read = this->next_read.value_or(now + this->backoff.Next());
   }
   if ((this->reading_all || this->reading_head) &&
@@ -204,8 +209,8 @@
   return this->confirmed_at && now - *this->confirmed_at <= this->KeyLimit();
 }
 
-// Puts one value aside until the whole is there; false if it can't be read.
-// Keys that this program doesn't know may come from a newer one.
+// Keeps one value until the state is complete; false if it can't be parsed.
+// Ignores unknown keys, as a newer version may have written them.
 bool ConfigurationReplica::Stage(const std::string& key,
                                  const std::string& text) {
   if (key == kHeadKey) {
@@ -236,7 +241,8 @@
   return true;
 }
 
-// Takes what is staged if it makes a whole above the one in force.
+// Accepts the staged values if, together with the buckets in force, they are a
+// complete state above the one in force.
 ReplicaActions ConfigurationReplica::TryAccept(Instant now) {
   if (this->staged.head.revision == 0) {
     return {};
@@ -280,7 +286,7 @@
                                             ConfigurationPtr next) {
   assert(
       (!this->options.refuse_lower || next->revision > this->head.revision) &&
-      "a revision in force never goes back");
+      "the revision in force never decreases");
   const bool continues =
       !this->options.compare_history || this->Continues(this->staged.head);
   if (!continues) {
@@ -295,8 +301,8 @@
   this->head_text = std::move(this->staged.head_text);
   this->staged = {};
   this->in_force = std::move(next);
-  // Only an accepted change makes a revision rise, so whoever passed it on has
-  // heard of the service later than this host.
+  // Only a change accepted by the service increases the revision, so its sender
+  // has more recent information from the service than this host had.
   this->confirmed_at = now;
   this->next_confirm = now + this->ConfirmPeriod();
   this->fetching = {};
@@ -305,15 +311,15 @@
   if (!this->watches || this->watch_open) {
     this->next_read.reset();
   }
-  LogInfo(kPart, "A revision is in force.",
+  LogInfo(kPart, "Configuration revision is in force.",
           {{"revision", std::to_string(this->head.revision)}});
   return {{.kind = Kind::kInForce, .configuration = this->in_force}};
 }
 
-// Whether a head comes after the one in force in the same history. After the
-// service was put back to a backup and changed anew, revisions repeat with
-// other contents; buckets of the two histories must not be mixed, though their
-// numbers fit together.
+// Whether a head is a successor of the one in force in the same history. After
+// the service was restored from a backup and changed again, revision numbers
+// are reused with other contents. Buckets of the two histories must not be
+// mixed, even where their revisions match.
 bool ConfigurationReplica::Continues(const ConfigurationHead& next) const {
   if (this->head.revision == 0) {
     return true;
@@ -324,8 +330,8 @@
          found->token == this->head.recent.front().token;
 }
 
-// Whether a head is the very one in force. The same revision under another
-// token is a fork.
+// Whether a head is identical to the one in force. The same revision with
+// another token is a fork.
 bool ConfigurationReplica::IsInForce(const ConfigurationHead& seen) const {
   return this->in_force && seen.revision == this->head.revision &&
          seen.recent == this->head.recent;
@@ -334,8 +340,7 @@
 void ConfigurationReplica::IgnoreLower(Instant now, int64_t revision) {
   ++this->counts.lower_ignored;
   if (this->limiter.Allow(now)) {
-    LogWarning(kPart,
-               "A revision that is not above the one in force was ignored.",
+    LogWarning(kPart, "Ignored a revision that is not above the one in force.",
                {{"revision", std::to_string(revision)},
                 {"in_force", std::to_string(this->head.revision)}});
   }
@@ -344,12 +349,12 @@
 void ConfigurationReplica::IgnoreBroken(Instant now, const Error& error) {
   ++this->counts.broken_ignored;
   if (this->limiter.Allow(now)) {
-    LogError(kPart, "A broken configuration was ignored.",
+    LogError(kPart, "Ignored an invalid configuration.",
              {{"error", error.message}});
   }
 }
 
-// Something newer exists: asks for it, unless that is under way.
+// Starts obtaining a newer revision, unless a fetch or a read is pending.
 ReplicaActions ConfigurationReplica::Catch(Instant now) {
   if (!this->fetching.Empty() || this->reading_all) {
     return {};
@@ -358,8 +363,8 @@
   return this->FetchNext(now);
 }
 
-// Asks the next peer that has something newer, the newest first; reads the
-// service when there is none left to ask.
+// Fetches from the next untried peer with the newest revision above the one in
+// force; reads the service if none is left or peer_tries is used up.
 ReplicaActions ConfigurationReplica::FetchNext(Instant now) {
   int64_t newest = this->head.revision + 1;
   std::vector<HostId> candidates;
@@ -379,7 +384,7 @@
     this->tried.clear();
     return this->ReadAll(now);
   }
-  // At random, or all hosts would ask the same peer at the same moment.
+  // Chosen at random, so that not all hosts fetch from the same peer at once.
   std::uniform_int_distribution<size_t> pick(0, candidates.size() - 1);
   this->fetching = candidates[pick(this->random)];
   this->fetch_deadline = now + this->options.peer_timeout;
--- a/packages/decisions/configuration_replica.h
+++ b/packages/decisions/configuration_replica.h
@@ -1,17 +1,17 @@
-// One host's copy of the configuration: which revision is in force here, and
-// where the next one is to be had.
+// One host's replica of the configuration: holds the revision in force on this
+// host and obtains newer ones.
 //
-// Two hosts of a data centre watch the key-value service. The others hear of a
-// new revision from their peers' digests and fetch from a peer the buckets that
-// changed, or read the service when no peer answers in time. Whatever comes,
-// from wherever, is taken only as a whole state above the one in force; so a
-// stale peer, a late answer or a service put back to an old backup can't bring
-// anything back.
+// Two hosts of a data centre watch the key-value service. The other hosts learn
+// of a new revision from their peers' digests and fetch the changed buckets
+// from a peer, or read the service if no peer answers in time. Whatever the
+// source, a state is accepted only if it is complete and its revision is above
+// the one in force, so that a stale peer, a late answer or a service restored
+// from an old backup can't undo changes.
 //
 // Index
-//   ReplicaOptions, ReplicaValue, ReplicaAction   what goes in and out
-//   ReplicaCounts                                 what was refused and why
-//   ConfigurationReplica
+//   ReplicaOptions, ReplicaValue, ReplicaAction   inputs and outputs
+//   ReplicaCounts                                 counters for metrics
+//   ConfigurationReplica                          the state machine
 
 #pragma once
 
@@ -31,29 +31,29 @@
 
 namespace hickorystand {
 
-// How a replica is made.
+// Options of ConfigurationReplica.
 struct ReplicaOptions {
   DataCentreId data_centre;
   uint64_t seed = 1;
-  // How long a peer may take to answer before the next one is asked.
+  // Timeout of a fetch from a peer; then the next peer is tried.
   Duration peer_timeout = std::chrono::milliseconds(500);
-  // How many peers are asked before the service is read.
+  // Number of peers that are tried before the service is read.
   int peer_tries = 2;
-  // How often a host that watches reads head. It shows that the watch still
-  // lives and that this host is not cut off.
+  // How often a watching host reads head, which detects a dead watch and
+  // confirms that this host is not cut off.
   Duration confirm_period = std::chrono::seconds(5);
-  // The same for hosts that don't watch: an eighth of the limit on keys, within
-  // these bounds.
+  // Upper bound of that period for hosts that don't watch: they use an eighth
+  // of the site's cut_off_key_limit, clamped to confirm_period and this bound.
   Duration longest_confirm_period = std::chrono::minutes(5);
 
-  // Test switches, each the absence of one mechanism.
-  bool refuse_lower = true;     // false: any other whole state is taken
-  bool compare_history = true;  // false: buckets of a fork are mixed in
-  bool ask_service = true;      // false: only peers are asked
+  // Switches for tests; each disables one mechanism.
+  bool refuse_lower = true;     // false: accepts any complete state
+  bool compare_history = true;  // false: mixes in buckets of a fork
+  bool ask_service = true;      // false: reads from peers only
 };
 
-// One value as it lies in the key-value service, with the revision of the
-// configuration at which it last changed.
+// One value as stored in the key-value service, with the configuration revision
+// at which it last changed.
 struct ReplicaValue {
   std::string key;
   int64_t revision = 0;
@@ -62,15 +62,15 @@
   auto operator<=>(const ReplicaValue&) const = default;
 };
 
-// What the replica wants done.
+// An action that the caller must carry out for the replica.
 struct ReplicaAction {
   enum class Kind {
-    kReadHead,   // read kHeadKey; answer with OnHeadRead
-    kReadAll,    // read kConfigurationPrefix; answer with OnStateRead
+    kReadHead,   // read kHeadKey; reply with OnHeadRead()
+    kReadAll,    // read kConfigurationPrefix; reply with OnStateRead()
     kWatch,      // watch kConfigurationPrefix after `store_revision`
     kStopWatch,  // end the watch
-    kFetch,      // ask `peer` for the values above `above_revision`
-    kInForce,    // `configuration` is in force from now on
+    kFetch,      // request values above `above_revision` from `peer`
+    kInForce,    // `configuration` is now in force
   };
 
   Kind kind = Kind::kReadAll;
@@ -84,40 +84,42 @@
 
 using ReplicaActions = std::vector<ReplicaAction>;
 
-// What was refused or failed, for metrics.
+// Counts of rejected states and failures, for metrics.
 struct ReplicaCounts {
-  int64_t lower_ignored = 0;   // whole states below the one in force
-  int64_t broken_ignored = 0;  // states that are wrong in themselves
-  int64_t forks_seen = 0;      // heads that don't continue the one in force
+  int64_t lower_ignored = 0;   // heads not above the one in force
+  int64_t broken_ignored = 0;  // states that don't parse or validate
+  int64_t forks_seen = 0;      // heads of another history than the one in force
   int64_t reads_failed = 0;    // of the service
-  int64_t peers_silent = 0;    // fetches without an answer in time
+  int64_t peers_silent = 0;    // fetches that timed out
   int64_t watches_lost = 0;
 
   auto operator<=>(const ReplicaCounts&) const = default;
 };
 
-// The state machine. Pure: events come in with their time, actions go out.
+// The state machine. Does no I/O: each event is passed in with its time and
+// returns the actions to carry out.
 class ConfigurationReplica {
  public:
   explicit ConfigurationReplica(ReplicaOptions options);
 
-  // Whether this host is one of the two that watch, as the membership says.
+  // Sets whether this host is one of the two watching hosts, as determined by
+  // the membership.
   ReplicaActions SetWatching(Instant now, bool watches);
 
-  // The service answered a kReadHead or a kReadAll.
+  // The service replied to a kReadHead or a kReadAll.
   ReplicaActions OnHeadRead(Instant now, const StoreReply& reply);
   ReplicaActions OnStateRead(Instant now, const StoreReply& reply);
 
-  // The watch saw values written, or is dead.
+  // The watch reported written values, or has ended.
   ReplicaActions OnWatch(Instant now, const std::vector<StoreRecord>& changed);
   ReplicaActions OnWatchLost(Instant now);
 
-  // A peer's digest named the revision in force there.
+  // A peer's digest reported the revision in force at the peer.
   ReplicaActions OnPeerRevision(Instant now,
                                 const HostId& peer,
                                 int64_t revision);
 
-  // A peer answered a kFetch, perhaps in several parts.
+  // A peer answered a kFetch, possibly in several parts.
   ReplicaActions OnPeerValues(Instant now,
                               const HostId& peer,
                               const std::vector<ReplicaValue>& values);
@@ -125,31 +127,31 @@
   // A peer has left or is unreachable.
   void OnPeerGone(const HostId& peer);
 
-  // Call every 100 ms or so: timeouts and repeated reads. Reads first of all at
-  // the first call.
+  // Handles timeouts and periodic reads; call about every 100 ms. The first
+  // call schedules the initial read.
   ReplicaActions OnTick(Instant now);
 
-  // What is in force here; null before the first.
+  // The configuration in force; null until one was accepted.
   const ConfigurationPtr& InForce() const { return this->in_force; }
   int64_t Revision() const { return this->head.revision; }
 
-  // What a peer needs that holds a revision: head, and each bucket above it.
-  // Empty if this host has nothing newer.
+  // The values that a peer at `revision` lacks: each bucket that changed since,
+  // and head. Empty if this host has nothing newer.
   std::vector<ReplicaValue> ValuesAbove(int64_t revision) const;
 
-  // Whether keys may still be trusted. A host that is cut off goes on serving
-  // known keys for the time set for its site; afterwards a key may have been
-  // revoked for so long that to refuse is the lesser harm.
+  // Whether known keys are still valid. A host that is cut off keeps accepting
+  // known keys for its site's cut_off_key_limit. After that it rejects all
+  // keys, as one revoked too long ago is worse than valid ones being rejected.
   bool KeysTrusted(Instant now) const;
 
-  // When it was last certain that nothing newer was in force.
+  // When the revision in force here was last confirmed to be the newest.
   std::optional<Instant> ConfirmedAt() const { return this->confirmed_at; }
 
   const ReplicaCounts& Counts() const { return this->counts; }
 
  private:
   struct Staged {
-    ConfigurationHead head;  // revision 0: not there yet
+    ConfigurationHead head;  // revision 0: not received yet
     std::string head_text;
     std::map<int, ConfigurationBucket> buckets;
     std::map<int, std::string> texts;
@@ -175,7 +177,7 @@
   LogLimiter limiter;
   ReplicaCounts counts;
 
-  // In force.
+  // The state in force.
   ConfigurationPtr in_force;
   ConfigurationHead head;
   std::string head_text;
@@ -183,22 +185,22 @@
   std::map<int, std::string> texts;
   std::optional<Instant> confirmed_at;
 
-  // On its way.
+  // State being received, and the fetch from a peer.
   Staged staged;
-  std::map<HostId, int64_t> peers;  // revision in force at each
-  HostId fetching;                  // the peer asked just now; empty: none
-  bool fetch_whole = false;         // from revision 0, as histories forked
+  std::map<HostId, int64_t> peers;  // by peer: the revision in force there
+  HostId fetching;                  // peer of the pending fetch; empty: none
+  bool fetch_whole = false;         // fetch from revision 0, after a fork
   Instant fetch_deadline{};
-  std::vector<HostId> tried;  // peers that were silent in this round
+  std::vector<HostId> tried;  // peers that timed out in this round
 
-  // Towards the service.
+  // Watch and reads of the service.
   bool watches = false;
   bool watch_open = false;
   bool reading_all = false;
   bool reading_head = false;
   Instant read_started{};
   bool started = false;
-  std::optional<Instant> next_read;  // of everything
+  std::optional<Instant> next_read;  // next read of the whole state
   Instant next_confirm{};
 };
 
