--- a/packages/relay/cache_feed.cc
+++ b/packages/relay/cache_feed.cc
@@ -89,7 +89,7 @@
             : Result<CacheNews>(Fail(ErrorKind::kEndpointFailed, "no answer"));
   if (!news) {
     LogDebug(
-        kPart, "Cache events weren't answered.",
+        kPart, "Cache event poll failed.",
         {{"endpoint", engine.Text()}, {"status", std::to_string(to.status)}});
     this->PollAfter(engine, this->options.pause_after_failure);
     return;
@@ -100,8 +100,8 @@
 
 void CacheFeed::TakeNews(const EndpointId& engine, const CacheNews& news) {
   Subscription& from = this->subscriptions.at(engine);
-  // Another process answers, or events are missing: what was believed to be
-  // kept may be gone. What is still there shows as it is used again.
+  // The engine restarted, or events were lost: entries recorded for it may have
+  // been evicted. Those that remain are recorded again when they are next used.
   CacheUpdate update{
       .engine = from.run,
       .reset = !from.epoch.empty() && (from.epoch != news.epoch || news.lost)};
--- a/packages/relay/cache_feed.h
+++ b/packages/relay/cache_feed.h
@@ -1,11 +1,12 @@
-// Subscribes to engines' cache events by long polls and tells the placement.
+// Subscribes to engines' prefix-cache events by long polling and applies them
+// to the placement.
 //
-// A new subscription begins with a list of all that the engine keeps: a host
-// that starts beside engines that have run for long knows nothing of it.
+// A new subscription starts with a list of the engine's whole cache, as a newly
+// started host lacks the events that running engines sent before.
 //
-// Each engine has one subscriber among the schedulers. What it receives goes on
-// to the others as CacheUpdate messages, so that every scheduler knows what any
-// scheduler's requests left behind.
+// Each engine has one subscriber among the schedulers, which forwards the
+// events to the other schedulers as CacheUpdate messages, so that every
+// scheduler knows the cache entries that any scheduler's requests created.
 
 #pragma once
 
@@ -21,16 +22,17 @@
 
 namespace hickorystand {
 
-// How engines are polled.
+// Timing of the long polls.
 struct CacheFeedOptions {
-  // How long a call waits for an event.
+  // How long an engine may hold a call until there is an event.
   Duration wait = std::chrono::seconds(1);
-  // Without an answer after this, the call is cancelled.
+  // Timeout of a call.
   Duration limit = std::chrono::milliseconds(2500);
-  // Between an answer and the next call. A busy engine has events at once, and
-  // a call that it answers at once costs as much as a health check.
+  // Delay between an answer and the next call. A busy engine always has events
+  // and answers at once, and such a call costs as much as a health check.
   Duration pause = std::chrono::milliseconds(700);
-  // After a failed call: an engine keeps a few calls waiting and refuses more.
+  // Delay after a failed call. An engine holds only a few calls at a time and
+  // rejects further ones.
   Duration pause_after_failure = std::chrono::seconds(2);
 };
 
@@ -38,10 +40,12 @@
 struct CacheFeedHandlers {
   // Whether this host is an engine's subscriber.
   std::function<bool(const FleetEndpoint&)> subscribes;
-  // An engine that this host subscribes to has told what changed.
+  // An engine that this host subscribes to reported changes of its cache.
   std::function<void(const CacheUpdate&)> on_update;
 };
 
+// The subscriptions of one host. The pool, the codec and the placement must
+// outlive it.
 class CacheFeed {
  public:
   CacheFeed(CacheFeedOptions options,
@@ -57,14 +61,16 @@
     this->handlers = std::move(changed);
   }
 
-  // Subscribes to the engines among these endpoints that are this host's to
-  // follow, and to no others. Again whenever the subscribers may have changed.
+  // Subscribes to those of the endpoints for which `subscribes` is true, and
+  // cancels all other subscriptions. Call again whenever the endpoints or the
+  // assignment of subscribers may have changed.
   void SetEndpoints(const FleetEndpoints& endpoints);
 
-  // What another host has heard from an engine.
+  // Applies an update that another host received from an engine. Ignores runs
+  // that the placement doesn't have.
   void TakeUpdate(const CacheUpdate& update);
 
-  // All that is known of the engines that this host subscribes to.
+  // The known cache contents of all engines that this host subscribes to.
   std::vector<CacheUpdate> Snapshot() const;
 
  private:
@@ -77,7 +83,7 @@
     int status = 0;
     std::string epoch;
     int64_t next = 0;
-    bool listed = false;  // all that it keeps was asked for
+    bool listed = false;  // the whole cache was requested
   };
 
   bool Subscribes(const FleetEndpoint& endpoint) const;
--- a/packages/relay/fleet_configuration.cc
+++ b/packages/relay/fleet_configuration.cc
@@ -42,7 +42,7 @@
 }
 
 const ServiceId& PickService(const Route& route, const RequestId& request) {
-  assert(!route.targets.empty() && "a route leads somewhere");
+  assert(!route.targets.empty() && "a route has at least one target");
   const int64_t total =
       std::accumulate(route.targets.begin(), route.targets.end(), int64_t{0},
                       [](int64_t sum, const RouteTarget& target) {
--- a/packages/relay/fleet_configuration.h
+++ b/packages/relay/fleet_configuration.h
@@ -1,12 +1,13 @@
-// The configuration of a fleet behind a relay: routes to services, the client
-// accounts with their keys, and bounds on callers. One immutable value for
-// each version; readers hold it by a shared pointer to const.
+// The configuration of a relay's fleet: routes to services, client accounts
+// with their keys, and limits on callers. One immutable value per version;
+// readers hold it by a shared pointer to const.
 //
 // Index
-//   Repeatability, Route, RouteTarget   where requests go and what may repeat
-//   EngineShape                         what a service of engines looks like
-//   FleetService, CallerLimits          the other records
-//   FleetConfiguration                  all of them at one version
+//   Repeatability, Route, RouteTarget   routing and retry safety of requests
+//   EngineSpec                          properties of a service's engines
+//   FleetService, CallerLimits          services, limits on callers
+//   RelayAccount                        a client account
+//   FleetConfiguration                  all records at one version
 
 #pragma once
 
@@ -25,12 +26,12 @@
 
 namespace hickorystand {
 
-// What may be done again with a request.
+// Whether a request may be executed again after a failure.
 enum class Repeatability {
-  kIdempotent,       // may run any number of times
-  kOnce,             // at most once
-  kStreamOnce,       // a stream of events, at most once
-  kStreamResumable,  // a stream that another endpoint can go on with
+  kIdempotent,       // may be executed any number of times
+  kOnce,             // executed at most once
+  kStreamOnce,       // a stream of events, executed at most once
+  kStreamResumable,  // a stream that another endpoint can continue
 };
 
 constexpr bool IsStream(Repeatability kind) {
@@ -43,7 +44,7 @@
          kind == Repeatability::kStreamResumable;
 }
 
-// A service that takes a part of a route's requests.
+// A service that receives a weighted share of a route's requests.
 struct RouteTarget {
   ServiceId service;
   int64_t weight = 1;
@@ -51,48 +52,49 @@
   auto operator<=>(const RouteTarget&) const = default;
 };
 
-// Which requests go where, and what they may expect.
+// Which requests are routed to which services, with their timeouts and latency
+// targets.
 struct Route {
   std::string name;
   std::string host;
   std::string path_prefix;
   Repeatability kind = Repeatability::kOnce;
-  Duration timeout{};         // the longest that a caller is kept waiting
-  Duration target_latency{};  // to the first byte, for a good answer
-  Duration gap_target{};      // between two events, for a good answer
+  Duration timeout{};         // maximum time until the caller is answered
+  Duration target_latency{};  // to the first byte, to meet the target
+  Duration gap_target{};      // between two events, to meet the target
   int64_t priority = 0;       // 0 is the most urgent
   std::vector<RouteTarget> targets;
   int64_t max_attempts = 1;
   bool keyless = false;
-  bool prefix_sharing = false;  // prompts share parts with each other
+  bool prefix_sharing = false;  // its prompts share parts with each other
 
   auto operator<=>(const Route&) const = default;
 };
 
-// The engines of a service.
+// Properties of the engines of a service.
 struct EngineShape {
   int64_t slots = 0;
   int64_t cache_tokens = 0;
-  double copied_tokens = 0;  // a second, between engines of a zone
-  int64_t event_polls = 0;   // cache event calls an engine keeps waiting
-  Duration handle_life{};    // how long a prompt that was read is kept
-  Duration role_change{};    // how long an engine is away for it
+  double copied_tokens = 0;  // per second, between engines of a zone
+  int64_t event_polls = 0;   // cache event polls that an engine holds at once
+  Duration handle_life{};    // how long a prefilled prompt is kept
+  Duration role_change{};    // unavailability during a role change
 
   auto operator<=>(const EngineShape&) const = default;
 };
 
-// A group of endpoints that do the same.
+// A group of interchangeable endpoints.
 struct FleetService {
   ServiceId id;
   std::string health_path;
-  int64_t max_connections = 0;  // of one endpoint, from all hosts together
+  int64_t max_connections = 0;  // to one endpoint, over all hosts
   std::optional<EngineShape> engine;
   std::optional<ScaleBounds> scaling;
 
   bool operator==(const FleetService&) const = default;
 };
 
-// What callers may send, and how long they may take.
+// Size limits and timeouts for callers' requests.
 struct CallerLimits {
   int64_t head_bytes = 16384;
   int64_t body_bytes = int64_t{4} << 20;
@@ -102,10 +104,10 @@
   auto operator<=>(const CallerLimits&) const = default;
 };
 
-// A client account as far as the relay knows it.
+// The relay's settings of a client account.
 struct RelayAccount {
   AccountId id;
-  std::optional<int64_t> priority;  // goes before the route's
+  std::optional<int64_t> priority;  // overrides the route's
 
   auto operator<=>(const RelayAccount&) const = default;
 };
@@ -120,12 +122,12 @@
   AccountLimits account_limits;  // an account without one is not limited
   CallerLimits limits;
 
-  // The route of a host whose prefix is the longest that begins a path, or
-  // nullptr if there is none.
+  // The route for `host` with the longest prefix of `path`, or nullptr if there
+  // is none.
   const Route* FindRoute(std::string_view host, std::string_view path) const;
 
-  // The shortest pause that any route allows in a stream of a service, or
-  // nothing if no route says.
+  // The smallest gap_target of the routes to a service, or zero if none of them
+  // sets one.
   Duration ShortestPause(const ServiceId& service) const;
 
   // The account that holds a key, or nullptr.
@@ -136,8 +138,9 @@
 
 using FleetConfigurationPtr = std::shared_ptr<const FleetConfiguration>;
 
-// The service that takes a request: the share of each target is its weight,
-// and the same request always gets the same one.
+// Selects the target of a request by a hash of its id: targets receive requests
+// in proportion to their weights, and the same request always gets the same
+// target.
 const ServiceId& PickService(const Route& route, const RequestId& request);
 
 }  // namespace hickorystand
--- a/packages/relay/fleet_source.cc
+++ b/packages/relay/fleet_source.cc
@@ -10,11 +10,11 @@
 
 constexpr std::string_view kPart = "source";
 
-// How often it is checked whether a read is due.
+// Period of the timer that starts due reads.
 constexpr Duration kTick = std::chrono::milliseconds(50);
 
-// Questions to other hosts that are remembered. At two a second, an answer to
-// an older one would be too old to prove anything.
+// Maximum number of pending questions to other hosts. At two questions a
+// second, an answer to an older one would be too old to prove freshness.
 constexpr size_t kQuestionsKept = 16;
 
 }  // namespace
@@ -103,9 +103,9 @@
       .record = this->record_revision > asked.revision ? this->record : ""};
 }
 
-// The other host made its answer after it was asked, so the record was the
-// newest at the latest `age` before that, however long the answer was on its
-// way. Clocks of two hosts are never compared.
+// The other host created its answer after this host sent the question, so its
+// record was still the newest at `age` before the time of sending, or later,
+// regardless of network delay. This never compares clocks of two hosts.
 void FleetSource::TakeAnswer(const FreshnessAnswer& answer) {
   const auto asked = this->questions.find(answer.number);
   if (asked == this->questions.end()) {
@@ -153,7 +153,7 @@
                  this->NoteProof(false, this->clock->Now() - now);
                  this->TakeConfiguration(now, known, "");
                } else if (answered && !reply.records.empty()) {
-                 // Without a record, none was written yet.
+                 // No record means that none has been written yet.
                  const StoreRecord& read = reply.records.front();
                  this->NoteProof(false, this->clock->Now() - now);
                  this->TakeConfiguration(now, read.mod_revision, read.value);
@@ -161,9 +161,9 @@
              });
 }
 
-// Once a record is known, a condition that it hasn't changed is as good a proof
-// as reading it again: of a large configuration that would take a weak host
-// longer than the time between two reads.
+// If a record is known, a compare that it hasn't changed proves freshness as
+// well as reading it again does. Reading a large configuration could take a
+// slow host longer than the poll period.
 StoreTransaction FleetSource::ReadIfNewer(int64_t known) const {
   const std::string key = this->records->ConfigurationKey();
   if (known == 0) {
@@ -173,25 +173,26 @@
           .otherwise = {StoreGet(key)}};
 }
 
-// A record that was the newest at `asked`.
+// Applies a record that was the newest at `asked`. `value` is needed only if
+// `revision` is above the known one.
 void FleetSource::TakeConfiguration(Instant asked,
                                     int64_t revision,
                                     const std::string& value) {
   if (revision < this->record_revision) {
-    return;  // answers may overtake each other
+    return;  // replies may arrive out of order
   }
   const Instant before = this->proven;
   if (revision > this->record_revision) {
     auto read = this->records->ReadConfiguration(value);
     if (!read) {
-      LogError(kPart, "Configuration can't be read.",
+      LogError(kPart, "Configuration record can't be parsed.",
                {{"revision", std::to_string(revision)},
                 {"why", read.error().message}});
       return;
     }
     this->record_revision = revision;
     this->record = value;
-    this->proven = {};  // what was proven was the record before
+    this->proven = {};  // the proof was for the previous record
     this->LogConfigurationRead(asked, value.size(), read->version);
     this->handlers.on_configuration(
         std::make_shared<const FleetConfiguration>(std::move(*read)));
@@ -241,7 +242,7 @@
       this->StoreWasAway(now)) {
     this->grace_until = now + this->options.return_grace;
     this->listed_since.clear();
-    LogInfo(kPart, "Endpoints are listed again after an outage.",
+    LogInfo(kPart, "Endpoint list read again after a store outage.",
             {{"known", std::to_string(this->endpoints.size())},
              {"listed", std::to_string(reply.records.size())}});
   }
@@ -255,15 +256,16 @@
       }
       this->listed[read->run.id] = std::move(*read);
     } else {
-      LogDebug(kPart, "Entry names no endpoint.",
+      LogDebug(kPart, "Endpoint entry can't be parsed.",
                {{"key", record.key}, {"why", read.error().message}});
     }
   }
   this->PublishEndpoints(now);
 }
 
-// Whether other hosts weren't answered either. If they were, as their proofs
-// show, no entry lapsed, and what is missing has left.
+// Whether the store didn't answer the other hosts either. If their proofs show
+// that it did, no entry expired because of an outage, and endpoints that are
+// missing from the list have left.
 bool FleetSource::StoreWasAway(Instant now) const {
   return now - this->proven > this->options.away_after ||
          now - this->proof_regained < this->options.return_grace;
@@ -278,20 +280,22 @@
   }
 }
 
-// What holds of the list that was read last.
+// The endpoints to publish: the last list, with leaving runs marked, and during
+// the grace period the endpoints whose entries may have expired in the outage.
 FleetEndpoints FleetSource::VisibleEndpoints(Instant now) {
   FleetEndpoints visible = this->listed;
   for (auto& [id, endpoint] : visible) {
     if (endpoint.leaving && this->leaving.insert(endpoint.run).second) {
       this->handlers.on_leaving(endpoint.run);
     }
-    // An older heartbeat may be written after the news that the endpoint
-    // leaves; it must not be taken for a change of mind.
+    // A heartbeat sent before the endpoint began to leave may be written after
+    // the notice that it leaves; it must not clear the leaving flag.
     endpoint.leaving = this->leaving.contains(endpoint.run);
   }
-  // Entries lapse while the service is away although their endpoints live.
-  // Taking all of them for gone would leave nobody to serve. But one that was
-  // listed since and is missing now has left, and work sent to it would be cut.
+  // Entries expire during an outage of the service although their endpoints are
+  // alive; removing them all would leave no endpoint to serve requests. But an
+  // endpoint that was listed since the outage and is missing now has left, and
+  // work sent to it would be cut off.
   if (now < this->grace_until) {
     for (const auto& [id, endpoint] : this->endpoints) {
       if (!this->listed_since.contains(id)) {
@@ -304,7 +308,7 @@
 
 void FleetSource::NoteProof(bool by_peer, Duration age) {
   if (std::exchange(this->proven_by_peer, by_peer) != by_peer) {
-    LogInfo(kPart, "The configuration is proven by another source.",
+    LogInfo(kPart, "Configuration freshness is proven by another source.",
             {{"source", by_peer ? "another host" : "the store"},
              {"revision", std::to_string(this->record_revision)},
              {"age_ms", std::to_string(age / std::chrono::milliseconds(1))}});
--- a/packages/relay/fleet_source.h
+++ b/packages/relay/fleet_source.h
@@ -1,10 +1,15 @@
-// Reads the configuration and the list of endpoints from the platform's
-// key-value service, again and again, and says how fresh they are.
+// Polls the configuration and the list of endpoints from the platform's
+// key-value service, and tracks how fresh the configuration is.
 //
-// Polls are linearizable: a condition on the configuration's record, which is
-// only sent if it has changed, and a read of the endpoints' prefix. A watch was
-// weighed: on the endpoints' prefix it wakes with every heartbeat, about 17
-// times a second on a fleet of 21 endpoints, against one read a second here.
+// A freshness proof is a point in time at which the configuration held here was
+// certainly the newest. It comes from the store, or from another host if the
+// store doesn't answer this one.
+//
+// Reads are linearizable: a compare on the configuration record, whose value is
+// transferred only if it has changed, and a read of the endpoints' prefix.
+// Polls are used rather than a watch because a watch on that prefix would fire
+// with every heartbeat: about 17 times a second on a fleet of 21 endpoints,
+// against one read a second.
 
 #pragma once
 
@@ -21,23 +26,25 @@
 
 namespace hickorystand {
 
-// How often is read, and what holds after an outage.
+// Poll periods, and the handling of outages.
 struct FleetSourceOptions {
-  // A revoked key, a new route and a leaving endpoint are known this much
-  // later at most; the tightest bound on them is 2 s.
+  // Period of polls, and so the maximum delay until a revoked key, a new route
+  // or a leaving endpoint is seen; the tightest bound on these delays is 2 s.
   Duration poll = std::chrono::milliseconds(1000);
-  // The first reads come faster: until they are answered nothing is served.
+  // Period until the first reply; shorter, as nothing is served before it.
   Duration first_poll = std::chrono::milliseconds(250);
-  // Reads of one kind under way at once. While the service is slow, the next
-  // read is asked before the last one is answered, except while an answer is
-  // arriving, as both would share the link.
+  // Maximum concurrent reads of one kind. While the service is slow, the next
+  // read is sent before the last reply has arrived, but not while a reply is
+  // being received, as both would share the link.
   int64_t most_under_way = 3;
-  // Entries that lapsed while the service was away are back within this time
-  // after its return; what is missing after that is gone.
+  // After an outage of the service, endpoints keep being used for this long
+  // although their entries expired, so that heartbeats can restore the entries.
+  // Endpoints that are still missing then are removed.
   Duration return_grace = std::chrono::milliseconds(2200);
-  // Without an answer for this long, the service counts as having been away.
+  // A gap between replies above this counts as an outage of the service.
   Duration away_after = std::chrono::milliseconds(1900);
-  // With a proof older than this, other hosts are asked for theirs, this often.
+  // If the freshness proof is older than the first value, other hosts are
+  // queried for theirs, with the second value as period.
   Duration ask_peers_after = std::chrono::milliseconds(2000);
   Duration ask_peers_every = std::chrono::milliseconds(500);
 };
@@ -46,14 +53,16 @@
 struct FleetSourceHandlers {
   std::function<void(FleetConfigurationPtr)> on_configuration;
   std::function<void(const FleetEndpoints&)> on_endpoints;
-  // The configuration told last was the newest at that moment.
+  // The last configuration passed to on_configuration was the newest at that
+  // time.
   std::function<void(Instant)> on_fresh;
-  // The store doesn't answer this host; others may have what it would say.
+  // Sends a question to other hosts, which may have a newer freshness proof.
   std::function<void(const FreshnessQuestion&)> ask_peers;
-  // The store has just said that this run leaves.
+  // The endpoint list newly shows that this run is leaving.
   std::function<void(const EndpointRun&)> on_leaving;
 };
 
+// Polls the store from Start() to Stop() and reports results to its handlers.
 class FleetSource {
  public:
   FleetSource(FleetSourceOptions options,
@@ -62,29 +71,29 @@
               const FleetRecords& records,
               FleetSourceHandlers handlers);
 
-  // Starts and stops reading. Starting again keeps the known configuration but
-  // discards its proof and the endpoints.
+  // Starts and stops polling. Starting again keeps the known configuration but
+  // discards its freshness proof and the endpoints.
   void Start();
   void Stop() { this->timer.reset(); }
 
-  // Reads as these options say from now on.
+  // Replaces the options, effective immediately.
   void SetOptions(const FleetSourceOptions& changed) {
     this->options = changed;
   }
 
-  // What this host can say to another one that the store doesn't answer;
-  // nothing if it has no proof itself.
+  // The answer to another host's question, or nullopt if this host has no
+  // freshness proof or an older record than the other host.
   std::optional<FreshnessAnswer> Answer(const FreshnessQuestion& asked) const;
 
-  // Takes what another host says: as good as the store's own answer, dated by
-  // when this host asked.
+  // Handles another host's answer: equivalent to a reply of the store, dated by
+  // when this host sent the question.
   void TakeAnswer(const FreshnessAnswer& answer);
 
   // Reads a newer configuration version that another host has reported, without
   // waiting for the next poll. Further reports of that version are ignored.
   void PollConfigurationNow(int64_t version);
 
-  // Another host has heard from the store that a run leaves.
+  // Another host has read from the store that a run is leaving.
   void LearnLeaving(const EndpointRun& run);
 
  private:
@@ -110,12 +119,12 @@
   FleetEndpoints VisibleEndpoints(Instant now);
   void PublishEndpoints(Instant now);
 
-  // One kind of read.
+  // State of one kind of read.
   struct Polling {
     Instant next{};
     int64_t under_way = 0;
-    int64_t revision = -1;    // of the newest answer that was taken
-    Instant last_progress{};  // when a part of an answer last arrived
+    int64_t revision = -1;    // of the newest reply that was applied
+    Instant last_progress{};  // when a part of a reply last arrived
   };
 
   FleetSourceOptions options;
@@ -126,22 +135,23 @@
   Polling configuration;
   Polling list;
   int64_t record_revision = 0;  // of the configuration record last read
-  std::string record;           // as it was read, for hosts that lack it
+  std::string record;           // as stored, for hosts with an older one
   int64_t newest_reported_version = 0;  // by other hosts
-  Instant proven{};          // when that record was the newest for certain
-  Instant proof_regained{};  // after nobody had any for a while
+  Instant proven{};          // when that record was last known to be the newest
+  Instant proof_regained{};  // when proofs resumed after a gap on all hosts
   int64_t last_question = 0;
-  std::map<int64_t, Instant> questions;  // to peers, and when each was asked
+  std::map<int64_t, Instant>
+      questions;  // to peers, by number: when it was sent
   Instant next_question{};
   Instant started_at{};
-  bool proven_by_peer = false;  // and not by the store itself
+  bool proven_by_peer = false;  // whether the last proof came from a peer
   std::optional<Instant> last_list;
   Instant grace_until{};
-  FleetEndpoints listed;              // as read last
-  std::set<EndpointId> listed_since;  // in the grace after an outage
+  FleetEndpoints listed;              // as last read
+  std::set<EndpointId> listed_since;  // listed during the grace period
   FleetEndpoints endpoints;
   bool endpoints_published = false;  // since Start()
-  std::set<EndpointRun> leaving;  // runs that said they leave, or were told to
+  std::set<EndpointRun> leaving;  // runs that announced it, or were ordered to
   bool reachable = false;
   std::unique_ptr<Timer> timer;
 };
