--- a/packages/decisions/configuration_codec.cc
+++ b/packages/decisions/configuration_codec.cc
@@ -128,10 +128,11 @@
   ConfigurationHead head{.revision = json->At("revision").Integer()};
   std::ranges::transform(buckets, head.buckets.begin(),
                          [](const Json& item) { return item.Integer(); });
-  const bool sound = std::ranges::all_of(head.buckets, [&](int64_t revision) {
-    return revision >= 0 && revision <= head.revision;
-  });
-  if (!sound || head.revision < 1) {
+  const bool revisions_valid =
+      std::ranges::all_of(head.buckets, [&](int64_t revision) {
+        return revision >= 0 && revision <= head.revision;
+      });
+  if (!revisions_valid || head.revision < 1) {
     return tl::unexpected(Broken("the revisions in head are inconsistent"));
   }
   for (const Json& item : json->At("recent").Items()) {
@@ -187,14 +188,15 @@
 Result<ConfigurationPtr> AssembleConfiguration(
     const ConfigurationHead& head,
     const std::map<int, ConfigurationBucket>& buckets) {
-  Configuration whole{.revision = head.revision};
+  Configuration configuration{.revision = head.revision};
   for (int i = 0; i < kBucketCount; ++i) {
     const auto found = buckets.find(i);
-    const int64_t held = found == buckets.end() ? 0 : found->second.revision;
-    if (held != head.buckets.at(i)) {
+    const int64_t bucket_revision =
+        found == buckets.end() ? 0 : found->second.revision;
+    if (bucket_revision != head.buckets.at(i)) {
       return Fail(ErrorKind::kStale,
                   "bucket " + std::to_string(i) + " is at revision " +
-                      std::to_string(held) + ", head lists " +
+                      std::to_string(bucket_revision) + ", head lists " +
                       std::to_string(head.buckets.at(i)));
     }
     if (found == buckets.end()) {
@@ -205,15 +207,15 @@
         return tl::unexpected(
             Broken(record.Name() + " is in the wrong bucket"));
       }
-      if (const auto put = PutRecord(whole, record); !put) {
+      if (const auto put = PutRecord(configuration, record); !put) {
         return tl::unexpected(Broken(put.error().message));
       }
     }
   }
-  if (auto fault = CheckWhole(whole)) {
+  if (auto fault = CheckWhole(configuration)) {
     return tl::unexpected(Broken(fault->message));
   }
-  return std::make_shared<const Configuration>(std::move(whole));
+  return std::make_shared<const Configuration>(std::move(configuration));
 }
 
 StoreTransaction ReadConfigurationTransaction() {
@@ -240,11 +242,11 @@
       buckets[*bucket] = std::move(*read);
     }
   }
-  auto whole = AssembleConfiguration(stored.head, buckets);
-  if (!whole) {
-    return tl::unexpected(whole.error());
+  auto configuration = AssembleConfiguration(stored.head, buckets);
+  if (!configuration) {
+    return tl::unexpected(configuration.error());
   }
-  stored.configuration = std::move(*whole);
+  stored.configuration = std::move(*configuration);
   return stored;
 }
 
@@ -379,10 +381,10 @@
   // If head still lists the change that this one was based on, it also lists
   // all later ones, and so this one did not take effect.
   const auto& before = this->base.head.recent;
-  const bool remembered =
+  const bool history_complete =
       before.empty() ||
       Remembers(recent, &AcceptedChange::token, before.front().token);
-  if (this->in_doubt && !remembered &&
+  if (this->in_doubt && !history_complete &&
       stored->head.revision > this->base.head.revision) {
     return Fail(ErrorKind::kOutcomeUnknown,
                 "too many changes came after this one to tell whether it took "
--- a/packages/decisions/configuration_records.cc
+++ b/packages/decisions/configuration_records.cc
@@ -57,12 +57,12 @@
 template <typename Number>
 bool ReadWithin(const std::string& text, Limits limits, Number& value) {
   Number number{};
-  const bool good = ReadNumber(text, number) &&
-                    std::isfinite(static_cast<double>(number)) &&
-                    static_cast<double>(number) >= limits.minimum &&
-                    static_cast<double>(number) <= limits.maximum;
-  value = good ? number : value;
-  return good;
+  const bool valid = ReadNumber(text, number) &&
+                     std::isfinite(static_cast<double>(number)) &&
+                     static_cast<double>(number) >= limits.minimum &&
+                     static_cast<double>(number) <= limits.maximum;
+  value = valid ? number : value;
+  return valid;
 }
 
 bool Read(const std::string& text, Limits limits, double& value) {
@@ -111,10 +111,10 @@
 
 bool Read(const std::string& text, Limits limits, Duration& value) {
   const auto length = ParseDuration(text);
-  const bool good = length && ToSeconds(*length) >= limits.minimum &&
-                    ToSeconds(*length) <= limits.maximum;
-  value = good ? *length : value;
-  return good;
+  const bool valid = length && ToSeconds(*length) >= limits.minimum &&
+                     ToSeconds(*length) <= limits.maximum;
+  value = valid ? *length : value;
+  return valid;
 }
 std::string Write(Duration value) {
   return DurationText(
@@ -185,15 +185,16 @@
   for (std::string method; std::getline(in, method, ';');) {
     methods.push_back(method);
   }
-  const bool good = std::ranges::all_of(methods, [](const std::string& method) {
-    return !method.empty() && std::ranges::all_of(method, [](char c) {
-      return g_ascii_isupper(c);
-    });
-  });
-  if (good) {
+  const bool valid =
+      std::ranges::all_of(methods, [](const std::string& method) {
+        return !method.empty() && std::ranges::all_of(method, [](char c) {
+          return g_ascii_isupper(c);
+        });
+      });
+  if (valid) {
     value = std::move(methods);
   }
-  return good;
+  return valid;
 }
 std::string Write(const std::vector<std::string>& value) {
   std::string text;
@@ -401,17 +402,17 @@
 template <typename T>
 Result<T> ReadFields(const Record& record, T value) {
   for (const Field<T>& field : FieldsOf(static_cast<const T*>(nullptr))) {
-    const auto given = record.fields.find(field.schema.name);
-    if (given == record.fields.end()) {
+    const auto entry = record.fields.find(field.schema.name);
+    if (entry == record.fields.end()) {
       if (field.schema.required) {
         return Fail(ErrorKind::kBadSetting,
                     record.Name() + ": " + field.schema.name +
                         ": is missing; " + field.schema.allowed + " is needed");
       }
-    } else if (!field.read(given->second, value)) {
+    } else if (!field.read(entry->second, value)) {
       return Fail(ErrorKind::kBadSetting,
                   record.Name() + ": " + field.schema.name + ": " +
-                      WrongText(given->second, field.schema.allowed));
+                      WrongText(entry->second, field.schema.allowed));
     }
   }
   return value;
@@ -445,8 +446,8 @@
     return true;
   };
   kind.remove = [records](Configuration& configuration,
-                          const std::string& gone) {
-    return (configuration.*records).erase(Key(gone)) > 0;
+                          const std::string& record_id) {
+    return (configuration.*records).erase(Key(record_id)) > 0;
   };
   kind.list = [&fields, records, kind_name = kind.schema.kind](
                   const Configuration& configuration,
@@ -544,11 +545,11 @@
 
 std::string CheckId(std::string_view kind, std::string_view id) {
   if (kind == "key") {
-    const bool hash =
+    const bool valid =
         id.size() == kHashLength && std::ranges::all_of(id, [](char c) {
           return g_ascii_isdigit(c) || (c >= 'a' && c <= 'f');
         });
-    return hash ? "" : "the id of a key is its SHA-256 in lower-case hex";
+    return valid ? "" : "the id of a key is its SHA-256 in lower-case hex";
   }
   return IsId(id) ? "" : WrongText(std::string(id), Allowed({}, AccountId()));
 }
--- a/packages/decisions/configuration_replica.cc
+++ b/packages/decisions/configuration_replica.cc
@@ -35,11 +35,11 @@
       random(this->options.seed),
       limiter(5, std::chrono::seconds(10)) {}
 
-ReplicaActions ConfigurationReplica::SetWatching(Instant now, bool wanted) {
-  if (std::exchange(this->watches, wanted) == wanted) {
+ReplicaActions ConfigurationReplica::SetWatching(Instant now, bool enabled) {
+  if (std::exchange(this->watches, enabled) == enabled) {
     return {};
   }
-  if (!wanted) {
+  if (!enabled) {
     return std::exchange(this->watch_open, false)
                ? ReplicaActions{{.kind = Kind::kStopWatch}}
                : ReplicaActions{};
@@ -58,18 +58,18 @@
   }
   this->backoff.Reset();
   const StoreRecord* record = FindRecord(reply, kHeadKey);
-  const auto seen =
+  const auto read_head =
       record == nullptr ? Result<ConfigurationHead>() : ReadHead(record->value);
-  if (!seen) {
-    this->IgnoreBroken(now, seen.error());
+  if (!read_head) {
+    this->IgnoreBroken(now, read_head.error());
     return {};
   }
-  if (this->IsInForce(*seen)) {
+  if (this->IsInForce(*read_head)) {
     this->confirmed_at = now;
     return {};
   }
-  if (seen->revision <= this->head.revision) {
-    this->IgnoreLower(now, seen->revision);
+  if (read_head->revision <= this->head.revision) {
+    this->IgnoreLower(now, read_head->revision);
     return {};
   }
   return this->Catch(now);
@@ -86,11 +86,11 @@
   this->next_read.reset();
   ReplicaActions actions;
   this->staged = {};
-  const bool whole =
+  const bool parsed =
       std::ranges::all_of(reply.records, [&](const StoreRecord& record) {
         return this->Stage(record.key, record.value);
       });
-  if (!whole) {
+  if (!parsed) {
     this->IgnoreBroken(now,
                        {ErrorKind::kBadSetting, "a value can't be parsed", {}});
     this->next_read = now + kLongestRetry;
@@ -232,9 +232,9 @@
   if (!read) {
     return false;
   }
-  const auto held = this->staged.buckets.find(*bucket);
-  if (held == this->staged.buckets.end() ||
-      read->revision >= held->second.revision) {
+  const auto previous = this->staged.buckets.find(*bucket);
+  if (previous == this->staged.buckets.end() ||
+      read->revision >= previous->second.revision) {
     this->staged.buckets[*bucket] = std::move(*read);
     this->staged.texts[*bucket] = text;
   }
@@ -263,12 +263,12 @@
   if (continues) {
     merged.insert(this->buckets.begin(), this->buckets.end());
   }
-  auto whole = AssembleConfiguration(next, merged);
-  if (whole) {
-    return this->Accept(now, std::move(*whole));
+  auto assembled = AssembleConfiguration(next, merged);
+  if (assembled) {
+    return this->Accept(now, std::move(*assembled));
   }
-  if (whole.error().kind != ErrorKind::kStale) {
-    this->IgnoreBroken(now, whole.error());
+  if (assembled.error().kind != ErrorKind::kStale) {
+    this->IgnoreBroken(now, assembled.error());
     this->staged = {};
     return {};
   }
@@ -332,9 +332,9 @@
 
 // Whether a head is identical to the one in force. The same revision with
 // another token is a fork.
-bool ConfigurationReplica::IsInForce(const ConfigurationHead& seen) const {
-  return this->in_force && seen.revision == this->head.revision &&
-         seen.recent == this->head.recent;
+bool ConfigurationReplica::IsInForce(const ConfigurationHead& other) const {
+  return this->in_force && other.revision == this->head.revision &&
+         other.recent == this->head.recent;
 }
 
 void ConfigurationReplica::IgnoreLower(Instant now, int64_t revision) {
@@ -405,15 +405,15 @@
 
 void ConfigurationReplica::NoteReadFailed(Instant now) {
   ++this->counts.reads_failed;
-  const Duration wait = this->backoff.Next();
+  const Duration retry_delay = this->backoff.Next();
   const bool needed = !this->in_force || (this->watches && !this->watch_open) ||
                       std::ranges::any_of(this->peers, [&](const auto& peer) {
                         return peer.second > this->head.revision;
                       });
   if (needed) {
-    this->next_read = now + wait;
+    this->next_read = now + retry_delay;
   }
-  this->next_confirm = std::max(this->next_confirm, now + wait);
+  this->next_confirm = std::max(this->next_confirm, now + retry_delay);
 }
 
 Duration ConfigurationReplica::KeyLimit() const {
--- a/packages/decisions/configuration_replica.h
+++ b/packages/decisions/configuration_replica.h
@@ -104,7 +104,7 @@
 
   // Sets whether this host is one of the two watching hosts, as determined by
   // the membership.
-  ReplicaActions SetWatching(Instant now, bool watches);
+  ReplicaActions SetWatching(Instant now, bool enabled);
 
   // The service replied to a kReadHead or a kReadAll.
   ReplicaActions OnHeadRead(Instant now, const StoreReply& reply);
@@ -161,7 +161,7 @@
   ReplicaActions TryAccept(Instant now);
   ReplicaActions Accept(Instant now, ConfigurationPtr next);
   bool Continues(const ConfigurationHead& next) const;
-  bool IsInForce(const ConfigurationHead& seen) const;
+  bool IsInForce(const ConfigurationHead& other) const;
   void IgnoreLower(Instant now, int64_t revision);
   void IgnoreBroken(Instant now, const Error& error);
   ReplicaActions Catch(Instant now);
--- a/packages/relay/cache_feed.cc
+++ b/packages/relay/cache_feed.cc
@@ -31,13 +31,13 @@
 void CacheFeed::SetEndpoints(const FleetEndpoints& endpoints) {
   std::erase_if(this->subscriptions, [&](const auto& entry) {
     const auto found = endpoints.find(entry.first);
-    const bool gone = found == endpoints.end() ||
-                      found->second.run != entry.second.run ||
-                      !this->Subscribes(found->second);
-    if (gone && entry.second.call) {
+    const bool ended = found == endpoints.end() ||
+                       found->second.run != entry.second.run ||
+                       !this->Subscribes(found->second);
+    if (ended && entry.second.call) {
       entry.second.call->Cancel();
     }
-    return gone;
+    return ended;
   });
   for (const auto& [id, endpoint] : endpoints) {
     if (!this->subscriptions.contains(id) && this->Subscribes(endpoint)) {
@@ -49,18 +49,20 @@
 }
 
 void CacheFeed::Poll(const EndpointId& engine) {
-  Subscription& to = this->subscriptions.at(engine);
-  to.body.clear();
-  to.status = 0;
-  to.timer = Timer::After(this->options.limit, [this, engine] {
+  Subscription& subscription = this->subscriptions.at(engine);
+  subscription.body.clear();
+  subscription.status = 0;
+  subscription.timer = Timer::After(this->options.limit, [this, engine] {
     this->subscriptions.at(engine).call->Cancel();
     this->PollAfter(engine, this->options.pause_after_failure);
   });
-  to.call = this->pool->Send(
-      {.address = to.address,
-       .head = to.listed ? this->codec->CacheNewsCall(to.address, to.next,
-                                                      this->options.wait)
-                         : this->codec->CacheListCall(to.address)},
+  subscription.call = this->pool->Send(
+      {.address = subscription.address,
+       .head = subscription.listed
+                   ? this->codec->CacheNewsCall(subscription.address,
+                                                subscription.next,
+                                                this->options.wait)
+                   : this->codec->CacheListCall(subscription.address)},
       {.on_head =
            [this, engine](const Http1Head& head) {
              this->subscriptions.at(engine).status = head.status;
@@ -73,41 +75,44 @@
        .on_end = [this, engine](HttpEnd end) { this->OnEnd(engine, end); }});
 }
 
-void CacheFeed::PollAfter(const EndpointId& engine, Duration pause) {
-  Subscription& to = this->subscriptions.at(engine);
-  to.call.reset();
-  to.timer = Timer::After(pause, [this, engine] { this->Poll(engine); });
+void CacheFeed::PollAfter(const EndpointId& engine, Duration delay) {
+  Subscription& subscription = this->subscriptions.at(engine);
+  subscription.call.reset();
+  subscription.timer =
+      Timer::After(delay, [this, engine] { this->Poll(engine); });
 }
 
 void CacheFeed::OnEnd(const EndpointId& engine, HttpEnd end) {
-  Subscription& to = this->subscriptions.at(engine);
-  const bool whole = end == HttpEnd::kWhole && to.status == 200;
-  const bool list = !std::exchange(to.listed, true);
-  const auto news =
-      whole ? list ? this->codec->ReadCacheList(to.body)
-                   : this->codec->ReadCacheNews(to.body)
-            : Result<CacheNews>(Fail(ErrorKind::kEndpointFailed, "no answer"));
-  if (!news) {
-    LogDebug(
-        kPart, "Cache event poll failed.",
-        {{"endpoint", engine.Text()}, {"status", std::to_string(to.status)}});
+  Subscription& subscription = this->subscriptions.at(engine);
+  const bool complete = end == HttpEnd::kWhole && subscription.status == 200;
+  const bool is_full_list = !std::exchange(subscription.listed, true);
+  const auto events =
+      complete
+          ? is_full_list ? this->codec->ReadCacheList(subscription.body)
+                         : this->codec->ReadCacheNews(subscription.body)
+          : Result<CacheNews>(Fail(ErrorKind::kEndpointFailed, "no answer"));
+  if (!events) {
+    LogDebug(kPart, "Cache event poll failed.",
+             {{"endpoint", engine.Text()},
+              {"status", std::to_string(subscription.status)}});
     this->PollAfter(engine, this->options.pause_after_failure);
     return;
   }
-  this->TakeNews(engine, *news);
+  this->TakeNews(engine, *events);
   this->PollAfter(engine, this->options.pause);
 }
 
-void CacheFeed::TakeNews(const EndpointId& engine, const CacheNews& news) {
-  Subscription& from = this->subscriptions.at(engine);
+void CacheFeed::TakeNews(const EndpointId& engine, const CacheNews& events) {
+  Subscription& subscription = this->subscriptions.at(engine);
   // The engine restarted, or events were lost: entries recorded for it may have
   // been evicted. Those that remain are recorded again when they are next used.
   CacheUpdate update{
-      .engine = from.run,
-      .reset = !from.epoch.empty() && (from.epoch != news.epoch || news.lost)};
-  from.epoch = news.epoch;
-  from.next = news.next;
-  std::ranges::transform(news.changes, std::back_inserter(update.parts),
+      .engine = subscription.run,
+      .reset = !subscription.epoch.empty() &&
+               (subscription.epoch != events.epoch || events.lost)};
+  subscription.epoch = events.epoch;
+  subscription.next = events.next;
+  std::ranges::transform(events.changes, std::back_inserter(update.parts),
                          [](const CacheChange& change) {
                            return PartTokens{.part = HashOfPart(change.part),
                                              .tokens = change.tokens};
@@ -132,16 +137,16 @@
 }
 
 std::vector<CacheUpdate> CacheFeed::Snapshot() const {
-  std::vector<CacheUpdate> known;
+  std::vector<CacheUpdate> updates;
   std::ranges::transform(
-      this->subscriptions, std::back_inserter(known),
+      this->subscriptions, std::back_inserter(updates),
       [this](const auto& entry) {
         return CacheUpdate{
             .engine = entry.second.run,
             .reset = true,
             .parts = this->placement->ConfirmedParts(entry.first)};
       });
-  return known;
+  return updates;
 }
 
 }  // namespace hickorystand
--- a/packages/relay/cache_feed.h
+++ b/packages/relay/cache_feed.h
@@ -57,8 +57,8 @@
   CacheFeed& operator=(const CacheFeed&) = delete;
 
   // Without handlers this host subscribes to every engine.
-  void SetHandlers(CacheFeedHandlers changed) {
-    this->handlers = std::move(changed);
+  void SetHandlers(CacheFeedHandlers new_handlers) {
+    this->handlers = std::move(new_handlers);
   }
 
   // Subscribes to those of the endpoints for which `subscribes` is true, and
@@ -88,9 +88,9 @@
 
   bool Subscribes(const FleetEndpoint& endpoint) const;
   void Poll(const EndpointId& engine);
-  void PollAfter(const EndpointId& engine, Duration pause);
+  void PollAfter(const EndpointId& engine, Duration delay);
   void OnEnd(const EndpointId& engine, HttpEnd end);
-  void TakeNews(const EndpointId& engine, const CacheNews& news);
+  void TakeNews(const EndpointId& engine, const CacheNews& events);
 
   CacheFeedOptions options;
   EndpointPool* pool;
--- a/packages/relay/fleet_configuration.cc
+++ b/packages/relay/fleet_configuration.cc
@@ -24,10 +24,10 @@
 Duration FleetConfiguration::ShortestPause(const ServiceId& service) const {
   Duration shortest{};
   for (const Route& route : this->routes) {
-    const bool leads_there =
+    const bool targets_service =
         std::ranges::find(route.targets, service, &RouteTarget::service) !=
         route.targets.end();
-    if (leads_there && route.gap_target > Duration{} &&
+    if (targets_service && route.gap_target > Duration{} &&
         (shortest == Duration{} || route.gap_target < shortest)) {
       shortest = route.gap_target;
     }
@@ -52,12 +52,12 @@
     return route.targets.front().service;
   }
   const std::string& id = request.Text();
-  int64_t place = static_cast<int64_t>(XXH3_64bits(id.data(), id.size()) %
-                                       static_cast<uint64_t>(total));
+  int64_t offset = static_cast<int64_t>(XXH3_64bits(id.data(), id.size()) %
+                                        static_cast<uint64_t>(total));
   const auto chosen =
-      std::ranges::find_if(route.targets, [&place](const RouteTarget& target) {
-        place -= target.weight;
-        return place < 0;
+      std::ranges::find_if(route.targets, [&offset](const RouteTarget& target) {
+        offset -= target.weight;
+        return offset < 0;
       });
   return chosen->service;
 }
--- a/packages/relay/fleet_source.cc
+++ b/packages/relay/fleet_source.cc
@@ -69,15 +69,15 @@
 
 void FleetSource::Read(Polling& polling,
                        const StoreTransaction& transaction,
-                       std::function<void(StoreReply)> done) {
+                       std::function<void(StoreReply)> on_reply) {
   ++polling.under_way;
   this->store->TransactWithProgress(
       transaction,
       [this, &polling] { polling.last_progress = this->clock->Now(); },
-      [&polling, done = std::move(done)](const StoreReply& reply) {
+      [&polling, on_reply = std::move(on_reply)](const StoreReply& reply) {
         --polling.under_way;
         polling.last_progress = {};
-        done(reply);
+        on_reply(reply);
       });
 }
 
@@ -92,15 +92,15 @@
 }
 
 std::optional<FreshnessAnswer> FleetSource::Answer(
-    const FreshnessQuestion& asked) const {
-  if (this->proven == Instant{} || this->record_revision < asked.revision) {
+    const FreshnessQuestion& question) const {
+  if (this->proven == Instant{} || this->record_revision < question.revision) {
     return {};
   }
   return FreshnessAnswer{
-      .number = asked.number,
+      .number = question.number,
       .revision = this->record_revision,
       .age = this->clock->Now() - this->proven,
-      .record = this->record_revision > asked.revision ? this->record : ""};
+      .record = this->record_revision > question.revision ? this->record : ""};
 }
 
 // The other host created its answer after this host sent the question, so its
@@ -140,18 +140,18 @@
   this->configuration.next =
       now + (this->record_revision == 0 ? this->options.first_poll
                                         : this->options.poll);
-  const int64_t known = this->record_revision;
-  this->Read(this->configuration, this->ReadIfNewer(known),
-             [this, now, known](const StoreReply& reply) {
+  const int64_t known_revision = this->record_revision;
+  this->Read(this->configuration, this->ReadIfNewer(known_revision),
+             [this, now, known_revision](const StoreReply& reply) {
                const bool unchanged =
-                   known > 0 && reply.outcome == StoreOutcome::kThen;
+                   known_revision > 0 && reply.outcome == StoreOutcome::kThen;
                const bool answered = unchanged ||
                                      reply.outcome == StoreOutcome::kThen ||
                                      reply.outcome == StoreOutcome::kOtherwise;
                this->NoteReachable(answered);
                if (unchanged) {
                  this->NoteProof(false, this->clock->Now() - now);
-                 this->TakeConfiguration(now, known, "");
+                 this->TakeConfiguration(now, known_revision, "");
                } else if (answered && !reply.records.empty()) {
                  // No record means that none has been written yet.
                  const StoreRecord& read = reply.records.front();
@@ -164,12 +164,12 @@
 // If a record is known, a compare that it hasn't changed proves freshness as
 // well as reading it again does. Reading a large configuration could take a
 // slow host longer than the poll period.
-StoreTransaction FleetSource::ReadIfNewer(int64_t known) const {
+StoreTransaction FleetSource::ReadIfNewer(int64_t known_revision) const {
   const std::string key = this->records->ConfigurationKey();
-  if (known == 0) {
+  if (known_revision == 0) {
     return {.then = {StoreGet(key)}};
   }
-  return {.conditions = {{.key = key, .revision = known}},
+  return {.conditions = {{.key = key, .revision = known_revision}},
           .otherwise = {StoreGet(key)}};
 }
 
@@ -181,23 +181,23 @@
   if (revision < this->record_revision) {
     return;  // replies may arrive out of order
   }
-  const Instant before = this->proven;
+  const Instant previous_proof = this->proven;
   if (revision > this->record_revision) {
-    auto read = this->records->ReadConfiguration(value);
-    if (!read) {
+    auto parsed = this->records->ReadConfiguration(value);
+    if (!parsed) {
       LogError(kPart, "Configuration record can't be parsed.",
                {{"revision", std::to_string(revision)},
-                {"why", read.error().message}});
+                {"why", parsed.error().message}});
       return;
     }
     this->record_revision = revision;
     this->record = value;
     this->proven = {};  // the proof was for the previous record
-    this->LogConfigurationRead(asked, value.size(), read->version);
+    this->LogConfigurationRead(asked, value.size(), parsed->version);
     this->handlers.on_configuration(
-        std::make_shared<const FleetConfiguration>(std::move(*read)));
+        std::make_shared<const FleetConfiguration>(std::move(*parsed)));
   }
-  if (asked - before > this->options.away_after) {
+  if (asked - previous_proof > this->options.away_after) {
     this->proof_regained = this->clock->Now();
   }
   this->proven = std::max(this->proven, asked);
@@ -249,15 +249,15 @@
   this->last_list = now;
   this->listed.clear();
   for (const StoreRecord& record : reply.records) {
-    auto read = this->records->ReadEndpoint(record);
-    if (read) {
+    auto parsed = this->records->ReadEndpoint(record);
+    if (parsed) {
       if (now < this->grace_until) {
-        this->listed_since.insert(read->run.id);
+        this->listed_since.insert(parsed->run.id);
       }
-      this->listed[read->run.id] = std::move(*read);
+      this->listed[parsed->run.id] = std::move(*parsed);
     } else {
       LogDebug(kPart, "Endpoint entry can't be parsed.",
-               {{"key", record.key}, {"why", read.error().message}});
+               {{"key", record.key}, {"why", parsed.error().message}});
     }
   }
   this->PublishEndpoints(now);
@@ -315,12 +315,12 @@
   }
 }
 
-void FleetSource::NoteReachable(bool answered) {
-  if (std::exchange(this->reachable, answered) != answered) {
-    if (answered) {
+void FleetSource::NoteReachable(bool now_reachable) {
+  if (std::exchange(this->reachable, now_reachable) != now_reachable) {
+    if (now_reachable) {
       this->list.next = {};  // a leaving endpoint may have been missed
     }
-    LogInfo(kPart, answered ? "Store answers." : "Store doesn't answer.");
+    LogInfo(kPart, now_reachable ? "Store answers." : "Store doesn't answer.");
   }
 }
 
--- a/packages/relay/fleet_source.h
+++ b/packages/relay/fleet_source.h
@@ -43,8 +43,8 @@
   Duration return_grace = std::chrono::milliseconds(2200);
   // A gap between replies above this counts as an outage of the service.
   Duration away_after = std::chrono::milliseconds(1900);
-  // If the freshness proof is older than the first value, other hosts are
-  // queried for theirs, with the second value as period.
+  // If this host's freshness proof is older than ask_peers_after, it asks other
+  // hosts for theirs, every ask_peers_every.
   Duration ask_peers_after = std::chrono::milliseconds(2000);
   Duration ask_peers_every = std::chrono::milliseconds(500);
 };
@@ -53,8 +53,8 @@
 struct FleetSourceHandlers {
   std::function<void(FleetConfigurationPtr)> on_configuration;
   std::function<void(const FleetEndpoints&)> on_endpoints;
-  // The last configuration passed to on_configuration was the newest at that
-  // time.
+  // The last configuration passed to on_configuration was still the newest at
+  // that time.
   std::function<void(Instant)> on_fresh;
   // Sends a question to other hosts, which may have a newer freshness proof.
   std::function<void(const FreshnessQuestion&)> ask_peers;
@@ -77,13 +77,14 @@
   void Stop() { this->timer.reset(); }
 
   // Replaces the options, effective immediately.
-  void SetOptions(const FleetSourceOptions& changed) {
-    this->options = changed;
+  void SetOptions(const FleetSourceOptions& new_options) {
+    this->options = new_options;
   }
 
   // The answer to another host's question, or nullopt if this host has no
   // freshness proof or an older record than the other host.
-  std::optional<FreshnessAnswer> Answer(const FreshnessQuestion& asked) const;
+  std::optional<FreshnessAnswer> Answer(
+      const FreshnessQuestion& question) const;
 
   // Handles another host's answer: equivalent to a reply of the store, dated by
   // when this host sent the question.
@@ -103,9 +104,9 @@
   bool ShouldPoll(const Polling& polling, Instant now) const;
   void Read(Polling& polling,
             const StoreTransaction& transaction,
-            std::function<void(StoreReply)> done);
+            std::function<void(StoreReply)> on_reply);
   void AskConfiguration(Instant now);
-  StoreTransaction ReadIfNewer(int64_t known) const;
+  StoreTransaction ReadIfNewer(int64_t known_revision) const;
   void AskEndpoints(Instant now);
   void AskPeers(Instant now);
   void TakeConfiguration(Instant asked,
@@ -113,7 +114,7 @@
                          const std::string& value);
   void TakeEndpoints(Instant asked, const StoreReply& reply);
   void LogConfigurationRead(Instant asked, size_t bytes, int64_t version) const;
-  void NoteReachable(bool reachable);
+  void NoteReachable(bool now_reachable);
   void NoteProof(bool by_peer, Duration age);
   bool StoreWasAway(Instant now) const;
   FleetEndpoints VisibleEndpoints(Instant now);
@@ -140,8 +141,7 @@
   Instant proven{};          // when that record was last known to be the newest
   Instant proof_regained{};  // when proofs resumed after a gap on all hosts
   int64_t last_question = 0;
-  std::map<int64_t, Instant>
-      questions;  // to peers, by number: when it was sent
+  std::map<int64_t, Instant> questions;  // to peers: time sent, by number
   Instant next_question{};
   Instant started_at{};
   bool proven_by_peer = false;  // whether the last proof came from a peer
