--- a/packages/decisions/configuration_replica.cc
+++ b/packages/decisions/configuration_replica.cc
@@ -15,11 +15,12 @@
 constexpr Duration kFirstRetry = std::chrono::milliseconds(200);
 constexpr Duration kLongestRetry = std::chrono::seconds(5);
 
-// The client of the service answers within its own timeout. An answer that is
-// missing for as long as this was lost on the way to the replica.
+// The client of the service replies within its own, shorter timeout. A reply
+// that is missing for this long was lost between the client and the replica.
 constexpr Duration kReadLost = std::chrono::seconds(15);
 
-// How long the parts of one change may take to arrive before all is read.
+// How long to wait for the missing buckets of a change before the whole state
+// is read.
 constexpr Duration kPartsTimeout = std::chrono::milliseconds(300);
 
 void Append(ReplicaActions& to, ReplicaActions more) {
@@ -34,16 +35,17 @@
       random(this->options.seed),
       limiter(5, std::chrono::seconds(10)) {}
 
-ReplicaActions ConfigurationReplica::SetWatching(Instant now, bool wanted) {
-  if (std::exchange(this->watches, wanted) == wanted) {
+ReplicaActions ConfigurationReplica::SetWatching(Instant now, bool enabled) {
+  if (std::exchange(this->watches, enabled) == enabled) {
     return {};
   }
-  if (!wanted) {
+  if (!enabled) {
     return std::exchange(this->watch_open, false)
                ? ReplicaActions{{.kind = Kind::kStopWatch}}
                : ReplicaActions{};
   }
-  // A watch starts from a read, or what changed in between would be missed.
+  // The watch starts at the revision of a read; otherwise changes between the
+  // two would be missed.
   return this->ReadAll(now);
 }
 
@@ -56,18 +58,18 @@
   }
   this->backoff.Reset();
   const StoreRecord* record = FindRecord(reply, kHeadKey);
-  const auto seen =
+  const auto read_head =
       record == nullptr ? Result<ConfigurationHead>() : ReadHead(record->value);
-  if (!seen) {
-    this->IgnoreBroken(now, seen.error());
+  if (!read_head) {
+    this->IgnoreBroken(now, read_head.error());
     return {};
   }
-  if (this->IsInForce(*seen)) {
+  if (this->IsInForce(*read_head)) {
     this->confirmed_at = now;
     return {};
   }
-  if (seen->revision <= this->head.revision) {
-    this->IgnoreLower(now, seen->revision);
+  if (read_head->revision <= this->head.revision) {
+    this->IgnoreLower(now, read_head->revision);
     return {};
   }
   return this->Catch(now);
@@ -84,12 +86,13 @@
   this->next_read.reset();
   ReplicaActions actions;
   this->staged = {};
-  const bool whole =
+  const bool parsed =
       std::ranges::all_of(reply.records, [&](const StoreRecord& record) {
         return this->Stage(record.key, record.value);
       });
-  if (!whole) {
-    this->IgnoreBroken(now, {ErrorKind::kBadSetting, "a value is broken", {}});
+  if (!parsed) {
+    this->IgnoreBroken(now,
+                       {ErrorKind::kBadSetting, "a value can't be parsed", {}});
     this->next_read = now + kLongestRetry;
   } else {
     if (this->IsInForce(this->staged.head)) {
@@ -118,8 +121,8 @@
 ReplicaActions ConfigurationReplica::OnWatchLost(Instant now) {
   this->watch_open = false;
   ++this->counts.watches_lost;
-  // Many watches are lost at once when the service restarts, and their hosts
-  // must not all come back at once.
+  // A restart of the service ends many watches at once; backoff with jitter
+  // keeps the hosts from reconnecting all at the same time.
   this->next_read = now + this->backoff.Next();
   return {};
 }
@@ -137,9 +140,10 @@
     const std::vector<ReplicaValue>& values) {
   for (const ReplicaValue& value : values) {
     if (!this->Stage(value.key, value.text)) {
-      this->IgnoreBroken(now, {ErrorKind::kBadSetting,
-                               "a value from " + peer.Text() + " is broken",
-                               {}});
+      this->IgnoreBroken(now,
+                         {ErrorKind::kBadSetting,
+                          "a value from " + peer.Text() + " can't be parsed",
+                          {}});
       return {};
     }
   }
@@ -153,8 +157,9 @@
 ReplicaActions ConfigurationReplica::OnTick(Instant now) {
   ReplicaActions actions;
   if (!std::exchange(this->started, true)) {
-    // Peers are given a moment to say what they have. When a whole data centre
-    // restarts, its hosts would otherwise all read everything at once.
+    // Delay the first read, so that peers can report their revisions first.
+    // Otherwise all hosts of a restarting data centre would read the whole
+    // state at once.
     this->next_read = this->next_read.value_or(now + this->backoff.Next());
   }
   if ((this->reading_all || this->reading_head) &&
@@ -204,8 +209,8 @@
   return this->confirmed_at && now - *this->confirmed_at <= this->KeyLimit();
 }
 
-// Puts one value aside until the whole is there; false if it can't be read.
-// Keys that this program doesn't know may come from a newer one.
+// Keeps one value until the state is complete; false if it can't be parsed.
+// Ignores unknown keys, as a newer version may have written them.
 bool ConfigurationReplica::Stage(const std::string& key,
                                  const std::string& text) {
   if (key == kHeadKey) {
@@ -227,16 +232,17 @@
   if (!read) {
     return false;
   }
-  const auto held = this->staged.buckets.find(*bucket);
-  if (held == this->staged.buckets.end() ||
-      read->revision >= held->second.revision) {
+  const auto previous = this->staged.buckets.find(*bucket);
+  if (previous == this->staged.buckets.end() ||
+      read->revision >= previous->second.revision) {
     this->staged.buckets[*bucket] = std::move(*read);
     this->staged.texts[*bucket] = text;
   }
   return true;
 }
 
-// Takes what is staged if it makes a whole above the one in force.
+// Accepts the staged values if, together with the buckets in force, they are a
+// complete state above the one in force.
 ReplicaActions ConfigurationReplica::TryAccept(Instant now) {
   if (this->staged.head.revision == 0) {
     return {};
@@ -257,12 +263,12 @@
   if (continues) {
     merged.insert(this->buckets.begin(), this->buckets.end());
   }
-  auto whole = AssembleConfiguration(next, merged);
-  if (whole) {
-    return this->Accept(now, std::move(*whole));
+  auto assembled = AssembleConfiguration(next, merged);
+  if (assembled) {
+    return this->Accept(now, std::move(*assembled));
   }
-  if (whole.error().kind != ErrorKind::kStale) {
-    this->IgnoreBroken(now, whole.error());
+  if (assembled.error().kind != ErrorKind::kStale) {
+    this->IgnoreBroken(now, assembled.error());
     this->staged = {};
     return {};
   }
@@ -280,7 +286,7 @@
                                             ConfigurationPtr next) {
   assert(
       (!this->options.refuse_lower || next->revision > this->head.revision) &&
-      "a revision in force never goes back");
+      "the revision in force never decreases");
   const bool continues =
       !this->options.compare_history || this->Continues(this->staged.head);
   if (!continues) {
@@ -295,8 +301,8 @@
   this->head_text = std::move(this->staged.head_text);
   this->staged = {};
   this->in_force = std::move(next);
-  // Only an accepted change makes a revision rise, so whoever passed it on has
-  // heard of the service later than this host.
+  // Only a change accepted by the service increases the revision, so its sender
+  // has more recent information from the service than this host had.
   this->confirmed_at = now;
   this->next_confirm = now + this->ConfirmPeriod();
   this->fetching = {};
@@ -305,15 +311,15 @@
   if (!this->watches || this->watch_open) {
     this->next_read.reset();
   }
-  LogInfo(kPart, "A revision is in force.",
+  LogInfo(kPart, "Configuration revision is in force.",
           {{"revision", std::to_string(this->head.revision)}});
   return {{.kind = Kind::kInForce, .configuration = this->in_force}};
 }
 
-// Whether a head comes after the one in force in the same history. After the
-// service was put back to a backup and changed anew, revisions repeat with
-// other contents; buckets of the two histories must not be mixed, though their
-// numbers fit together.
+// Whether a head is a successor of the one in force in the same history. After
+// the service was restored from a backup and changed again, revision numbers
+// are reused with other contents. Buckets of the two histories must not be
+// mixed, even where their revisions match.
 bool ConfigurationReplica::Continues(const ConfigurationHead& next) const {
   if (this->head.revision == 0) {
     return true;
@@ -324,18 +330,17 @@
          found->token == this->head.recent.front().token;
 }
 
-// Whether a head is the very one in force. The same revision under another
-// token is a fork.
-bool ConfigurationReplica::IsInForce(const ConfigurationHead& seen) const {
-  return this->in_force && seen.revision == this->head.revision &&
-         seen.recent == this->head.recent;
+// Whether a head is identical to the one in force. The same revision with
+// another token is a fork.
+bool ConfigurationReplica::IsInForce(const ConfigurationHead& other) const {
+  return this->in_force && other.revision == this->head.revision &&
+         other.recent == this->head.recent;
 }
 
 void ConfigurationReplica::IgnoreLower(Instant now, int64_t revision) {
   ++this->counts.lower_ignored;
   if (this->limiter.Allow(now)) {
-    LogWarning(kPart,
-               "A revision that is not above the one in force was ignored.",
+    LogWarning(kPart, "Ignored a revision that is not above the one in force.",
                {{"revision", std::to_string(revision)},
                 {"in_force", std::to_string(this->head.revision)}});
   }
@@ -344,12 +349,12 @@
 void ConfigurationReplica::IgnoreBroken(Instant now, const Error& error) {
   ++this->counts.broken_ignored;
   if (this->limiter.Allow(now)) {
-    LogError(kPart, "A broken configuration was ignored.",
+    LogError(kPart, "Ignored an invalid configuration.",
              {{"error", error.message}});
   }
 }
 
-// Something newer exists: asks for it, unless that is under way.
+// Starts obtaining a newer revision, unless a fetch or a read is pending.
 ReplicaActions ConfigurationReplica::Catch(Instant now) {
   if (!this->fetching.Empty() || this->reading_all) {
     return {};
@@ -358,8 +363,8 @@
   return this->FetchNext(now);
 }
 
-// Asks the next peer that has something newer, the newest first; reads the
-// service when there is none left to ask.
+// Fetches from the next untried peer with the newest revision above the one in
+// force; reads the service if none is left or peer_tries is used up.
 ReplicaActions ConfigurationReplica::FetchNext(Instant now) {
   int64_t newest = this->head.revision + 1;
   std::vector<HostId> candidates;
@@ -379,7 +384,7 @@
     this->tried.clear();
     return this->ReadAll(now);
   }
-  // At random, or all hosts would ask the same peer at the same moment.
+  // Chosen at random, so that not all hosts fetch from the same peer at once.
   std::uniform_int_distribution<size_t> pick(0, candidates.size() - 1);
   this->fetching = candidates[pick(this->random)];
   this->fetch_deadline = now + this->options.peer_timeout;
@@ -400,15 +405,15 @@
 
 void ConfigurationReplica::NoteReadFailed(Instant now) {
   ++this->counts.reads_failed;
-  const Duration wait = this->backoff.Next();
+  const Duration retry_delay = this->backoff.Next();
   const bool needed = !this->in_force || (this->watches && !this->watch_open) ||
                       std::ranges::any_of(this->peers, [&](const auto& peer) {
                         return peer.second > this->head.revision;
                       });
   if (needed) {
-    this->next_read = now + wait;
+    this->next_read = now + retry_delay;
   }
-  this->next_confirm = std::max(this->next_confirm, now + wait);
+  this->next_confirm = std::max(this->next_confirm, now + retry_delay);
 }
 
 Duration ConfigurationReplica::KeyLimit() const {
