--- a/packages/decisions/admission.h
+++ b/packages/decisions/admission.h
@@ -1,4 +1,4 @@
-// The admission queue of one ingress host: selects the next request to start,
+// The admission queue of one host: selects the next request to start,
 // and identifies requests that cannot meet their deadline.
 //
 // Weighted fair queuing between client accounts. Each account has a virtual
--- a/packages/decisions/coordinator.h
+++ b/packages/decisions/coordinator.h
@@ -1,7 +1,7 @@
 // The coordinator of one data centre: while it holds the lease, it sends orders
 // to the endpoints and the platform, and reports the data centre's usage.
 //
-// Every ingress host runs one; the lease decides which of them acts. It is a
+// Every host runs one; the lease decides which of them acts. It is a
 // state machine without I/O: events come in with their time, and the actions to
 // carry out are returned as values.
 //
--- a/packages/decisions/digest.h
+++ b/packages/decisions/digest.h
@@ -1,4 +1,4 @@
-// Digest: the state that an ingress host sends to the other hosts periodically.
+// Digest: the state that a host sends to the other hosts periodically.
 //
 // A digest is soft state: a lost one needs no retransmission, because the next
 // one repeats everything that still applies. Receivers drop a digest whose
--- a/packages/decisions/dispatcher.h
+++ b/packages/decisions/dispatcher.h
@@ -1,4 +1,4 @@
-// The dispatcher schedules the requests of one ingress host. For each request
+// The dispatcher schedules the requests of one host. For each request
 // it decides whether to admit it, when to start it, on which endpoint, and what
 // to do when an attempt fails.
 //
@@ -83,7 +83,7 @@
   kUnknown,      // the store's reply was lost; the claim may be recorded
 };
 
-// Schedules all requests of one ingress host.
+// Schedules all requests of one host.
 class Dispatcher {
  public:
   static constexpr const char* kPluginKind = "dispatcher";
--- a/packages/decisions/lease.h
+++ b/packages/decisions/lease.h
@@ -1,4 +1,4 @@
-// The lease of one data centre: elects the ingress host that may issue orders
+// The lease of one data centre: elects the host that may issue orders
 // and bounds the time for which it may do so.
 //
 // The lease is a record in the key-value service, bound to a lease of that
--- a/packages/decisions/membership.h
+++ b/packages/decisions/membership.h
@@ -1,4 +1,4 @@
-// Cluster membership: which ingress hosts are live, suspected, leaving or gone,
+// Cluster membership: which hosts are live, suspected, leaving or gone,
 // and which of them hold links, store watches and copies as a result.
 //
 // Three sources are combined. Messages that a host sends over its link take
@@ -36,7 +36,7 @@
 
 namespace hickorystand {
 
-// An ingress host and the address at which its peers reach it.
+// A host and the address at which its peers reach it.
 struct PeerHost {
   HostId host;
   DataCentreId data_centre;
--- a/packages/decisions/usage.h
+++ b/packages/decisions/usage.h
@@ -1,4 +1,4 @@
-// Usage accounting per client account: counted at each ingress host, copied to
+// Usage accounting per client account: counted at each host, copied to
 // other hosts, and closed into windows by the data centre's coordinator.
 //
 // Counters only grow and belong to one incarnation of one host, so merging a
