--- a/packages/decisions/coordinator.h
+++ b/packages/decisions/coordinator.h
@@ -391,7 +391,7 @@
   };
   std::map<UsageSource, SourceAge> ages;
   std::set<HostId> listed;
-  std::map<HostId, Instant> left;  // when missing holders were first noticed
+  std::map<HostId, Instant> left;  // of unlisted holders
 };
 
 }  // namespace hickorystand
--- a/packages/decisions/membership.cc
+++ b/packages/decisions/membership.cc
@@ -90,10 +90,10 @@
   if (found == this->records.end()) {
     return;
   }
-  auto& breaks = found->second.breaks;
-  breaks.push_back(now);
-  while (breaks.size() > static_cast<size_t>(this->options.flap_limit)) {
-    breaks.pop_front();
+  auto& failures = found->second.breaks;
+  failures.push_back(now);
+  while (failures.size() > static_cast<size_t>(this->options.flap_limit)) {
+    failures.pop_front();
   }
 }
 
@@ -150,27 +150,27 @@
 
 std::vector<HostId> Membership::Fit(Instant now,
                                     const DataCentreId& data_centre) const {
-  std::vector<HostId> fit;
+  std::vector<HostId> eligible;
   for (const auto& [id, record] : this->records) {
     if (record.peer.data_centre == data_centre &&
         this->State(now, record) == HostState::kLive &&
         !this->Flapping(now, record)) {
-      fit.push_back(id);
+      eligible.push_back(id);
     }
   }
   if (data_centre == this->options.self.data_centre && !this->draining) {
-    fit.push_back(this->options.self.host);
+    eligible.push_back(this->options.self.host);
   }
-  std::ranges::sort(fit);
-  return fit;
+  std::ranges::sort(eligible);
+  return eligible;
 }
 
 std::vector<HostId> Membership::Representatives(
     Instant now,
     const DataCentreId& data_centre) const {
-  auto fit = this->Fit(now, data_centre);
-  fit.resize(std::min(fit.size(), kRepresentatives));
-  return fit;
+  auto eligible = this->Fit(now, data_centre);
+  eligible.resize(std::min(eligible.size(), kRepresentatives));
+  return eligible;
 }
 
 size_t Membership::Rank(Instant now) const {
@@ -181,10 +181,10 @@
 }
 
 HostId Membership::Deputy(Instant now, const HostId& coordinator) const {
-  const auto fit = this->Fit(now, this->options.self.data_centre);
+  const auto eligible = this->Fit(now, this->options.self.data_centre);
   const auto other = std::ranges::find_if(
-      fit, [&](const HostId& host) { return host != coordinator; });
-  return other == fit.end() ? HostId() : *other;
+      eligible, [&](const HostId& host) { return host != coordinator; });
+  return other == eligible.end() ? HostId() : *other;
 }
 
 std::vector<PeerHost> Membership::Links(Instant now) {
--- a/packages/decisions/membership.h
+++ b/packages/decisions/membership.h
@@ -12,7 +12,6 @@
 // Index
 //   PeerHost, ListedHost            a host, and a line of the platform's list
 //   HostState, Member               the state of one host
-//   SenderStatus                    whether a sender's message is current
 //   MembershipOptions, Membership   the states of all hosts
 //
 //   Membership membership({.self = self, .incarnation = incarnation});
