--- a/packages/relay/caller_exchange.h
+++ b/packages/relay/caller_exchange.h
@@ -1,11 +1,17 @@
-// One caller's request and the way to answer it, wherever the caller's
-// connection is: at this host, or at one that forwards to it.
+// One caller's request and the interface to answer it, whether the caller is
+// connected to this host or to an ingress host that forwards to it.
 //
 // Index
-//   CallerMessage    a whole request
+//   CallerMessage    a complete request
 //   AnswerStart      the head of an answer
+//   HasBody          whether an answer of a status has a body
 //   CallerExchange   a request that waits for its answer
-//   AnswerOwnError   answers with an error of this host's own
+//   AnswerOwnError   answers with an error that this host generates
+//
+// Example
+//   exchange->Start({.status = 200});   // or Answer for a complete one
+//   exchange->Send(bytes);
+//   exchange->Finish();                 // or Break to abort the answer
 
 #pragma once
 
@@ -22,7 +28,7 @@
 
 namespace hickorystand {
 
-// A request that was read to its end.
+// A complete request.
 struct CallerMessage {
   Http1Head head;
   std::string body;
@@ -31,16 +37,17 @@
 // The head of an answer.
 struct AnswerStart {
   int status = 200;
-  HttpHeaders headers;             // without length and connection
-  std::optional<uint64_t> length;  // unknown: sent in chunks
+  HttpHeaders headers;             // without Content-Length and Connection
+  std::optional<uint64_t> length;  // nullopt: chunked transfer encoding
 };
 
-// Whether an answer of this status has a body.
+// Whether an answer with this status has a body.
 constexpr bool HasBody(int status) {
   return status != 204 && status != 304 && status / 100 != 1;
 }
 
-// A handler keeps the exchange as long as it has something to say.
+// The handler that gets the exchange keeps the pointer until the answer is
+// finished. Calls after the end of the answer have no effect.
 class CallerExchange {
  public:
   explicit CallerExchange(CallerMessage message)
@@ -51,38 +58,40 @@
 
   const CallerMessage& Message() const { return this->message; }
 
-  // Called once if the caller hangs up before the answer is whole.
+  // `handler` is called once if the caller disconnects before the answer is
+  // complete.
   void OnGone(std::function<void()> handler) {
     this->gone = std::move(handler);
   }
 
-  // Called whenever all that was written has left.
+  // `handler` is called whenever all written bytes have been sent.
   void OnDrained(std::function<void()> handler) {
     this->drained = std::move(handler);
   }
 
-  // Says that this host neither has run the request nor will, but that another
-  // one may. The answer that follows reaches the caller only if none does.
+  // Declares that this host has not run the request and will not, but that
+  // another scheduler may. The answer that follows is sent to the caller only
+  // if no other scheduler takes the request.
   virtual void Decline() {}
 
   // Answers in one piece.
   void Answer(const AnswerStart& start, std::string_view body);
 
-  // Answers piece by piece.
+  // Answers in pieces.
   virtual void Start(const AnswerStart& start) = 0;
   virtual void Send(std::string_view bytes) = 0;
   virtual void Finish() = 0;
 
-  // Ends the answer so that the caller sees it isn't whole.
+  // Aborts the answer so that the caller sees that it is incomplete.
   virtual void Break() = 0;
 
-  // Bytes written that the caller hasn't taken yet.
+  // Written bytes that have not been sent to the caller yet.
   virtual size_t Unsent() const = 0;
 
   bool Started() const { return this->started; }
 
  protected:
-  // Tells the handler that the caller hung up, unless the answer is over.
+  // Calls the OnGone handler, unless the answer has ended.
   void TellGone();
   void TellDrained();
 
@@ -98,7 +107,8 @@
 using CallerExchangePtr = std::shared_ptr<CallerExchange>;
 using CallerHandler = std::function<void(CallerExchangePtr)>;
 
-// Answers with an error of this host's own; returns the status.
+// Answers with an error that this host generates, and counts it; returns the
+// HTTP status.
 int AnswerOwnError(CallerExchange& exchange,
                    Metrics& metrics,
                    ErrorKind kind,
--- a/packages/relay/caller_server.cc
+++ b/packages/relay/caller_server.cc
@@ -9,10 +9,11 @@
 namespace hickorystand {
 namespace {
 
-// Bytes to a caller that may stay unacknowledged before it counts as gone.
+// TCP user timeout: a caller that leaves sent bytes unacknowledged for this
+// long is considered disconnected.
 constexpr Duration kCallerSilence = std::chrono::seconds(10);
 
-// Bytes that a caller may send ahead of the answer that it waits for.
+// Bytes of pipelined requests that are buffered before reading pauses.
 constexpr size_t kMaxReadAhead = size_t{64} << 10;
 
 std::string HeadText(const AnswerStart& start, bool chunked, bool last) {
@@ -79,7 +80,7 @@
   void Break() override;
   size_t Unsent() const override;
 
-  // The connection ended, or took all that was written.
+  // The connection ended, or has sent all written bytes.
   void OnConnectionEnd() { this->TellGone(); }
   void OnConnectionDrained() { this->TellDrained(); }
 
@@ -89,8 +90,8 @@
   uint64_t missing = 0;  // bytes of the declared length still to be sent
 };
 
-// One caller's connection. It reads a request, waits for its answer, and reads
-// the next one.
+// One caller's connection. Reads a request, waits for its answer, and then
+// reads the next request.
 class CallerConnection : public std::enable_shared_from_this<CallerConnection> {
  public:
   explicit CallerConnection(CallerServer* server)
@@ -144,7 +145,7 @@
     });
   }
 
-  // An idle connection is closed in order.
+  // Closes the connection after all written bytes have been sent.
   void Leave() {
     this->socket->CloseAfterWrite();
     auto& closing = this->server->closing;
@@ -155,14 +156,14 @@
     this->OnEnd();
   }
 
-  // Closes an idle connection. A request that is on its way stays unread, and
-  // its caller sees a reset.
+  // Closes an idle connection at once. A request in transit is not read, and
+  // its caller sees a connection reset.
   void CloseUnread() {
     this->socket->Close();
     this->OnEnd();
   }
 
-  // A request that doesn't get on would hold memory for ever.
+  // Without a timeout an incomplete request would hold memory for ever.
   void RefuseSlow() { this->Refuse(408); }
 
   void Refuse(int status) {
@@ -206,13 +207,13 @@
           this->weak_from_this(), std::move(this->message));
       this->server->handler(this->exchange);
     } else if (this->parser.HeadRead()) {
-      // The body may take as long as a connection may stay idle.
+      // Each pause within the body may be as long as the idle timeout.
       this->SetTimer(this->server->limits.idle_timeout,
                      &CallerConnection::RefuseSlow);
     }
   }
 
-  // The last byte of an answer was written.
+  // Called after the last byte of an answer was written.
   void OnAnswered(bool last) {
     if (last) {
       this->Leave();
@@ -296,8 +297,8 @@
     return;
   }
   this->over = true;
-  // Without the end that chunks or a length promise, the caller sees that the
-  // answer was cut; what was sent before still arrives.
+  // The caller sees a truncated answer, since the last chunk or part of the
+  // declared length is missing. The bytes written before are still sent.
   to->Leave();
 }
 
--- a/packages/relay/caller_server.h
+++ b/packages/relay/caller_server.h
@@ -1,5 +1,12 @@
-// Callers' side of the relay: accepts connections, reads one request after the
+// HTTP server for callers: accepts connections, reads one request after the
 // other on each, and writes the answers.
+//
+//   CallerServer server([](CallerExchangePtr exchange) { ... });
+//   server.Listen(address);
+//
+// Index
+//   CallerServer   the server
+//   ReasonOf       reason phrase of a status
 
 #pragma once
 
@@ -17,7 +24,9 @@
 
 class CallerConnection;
 
-// Accepts callers at one address.
+// Accepts callers at one address, and calls the handler with each complete
+// request. Requests that are malformed, too large or too slow are answered
+// here.
 class CallerServer {
  public:
   explicit CallerServer(CallerHandler handler);
@@ -25,27 +34,26 @@
   CallerServer(const CallerServer&) = delete;
   CallerServer& operator=(const CallerServer&) = delete;
 
-  // Accepts connections at an address.
+  // Starts to accept connections.
   Result<int> Listen(const SocketAddress& address);
 
-  // Bounds for requests that begin from now on.
+  // Sets the size limits and timeouts of requests that begin from now on.
   void SetLimits(const CallerLimits& limits) { this->limits = limits; }
 
-  // From now on each answer is the last of its connection. Connections that
-  // are idle stay open for a while: a request may be on its way on them, and
-  // closing would lose it.
+  // From now on each answer closes its connection. Idle connections stay open
+  // until their idle timeout, since closing one would lose a request that is in
+  // transit.
   void StartDrain() { this->draining = true; }
 
-  // Accepts and reads nothing any more, and closes all connections that wait
-  // for no answer.
+  // Stops accepting connections and reading, and closes all connections that
+  // have no answer pending or unsent.
   void StopReading();
 
-  // Connections with a request that waits for an answer, or with an answer that
-  // hasn't left this process yet.
+  // Connections with a request that waits for an answer.
   size_t Waiting() const;
   size_t Connections() const { return this->connections.size(); }
 
-  // Whether the kernel has taken all that was written to callers.
+  // Whether all bytes written to callers have been passed to the kernel.
   bool AllSent() const;
 
  private:
@@ -56,10 +64,10 @@
   bool draining = false;
   std::unique_ptr<Listener> listener;
   std::set<std::shared_ptr<CallerConnection>> connections;
-  std::vector<std::weak_ptr<StreamSocket>> closing;  // have bytes to send
+  std::vector<std::weak_ptr<StreamSocket>> closing;  // with unsent bytes
 };
 
-// The reason phrase of a status, for the answer's first line.
+// The reason phrase of an HTTP status, for the status line.
 std::string_view ReasonOf(int status);
 
 }  // namespace hickorystand
--- a/packages/relay/forward_receiver.cc
+++ b/packages/relay/forward_receiver.cc
@@ -9,7 +9,7 @@
 
 namespace hickorystand {
 
-// A request whose caller is connected to another host.
+// A request whose caller is connected to an ingress host.
 class ForwardedExchange final
     : public CallerExchange,
       public std::enable_shared_from_this<ForwardedExchange> {
@@ -21,10 +21,10 @@
         receiver(receiver),
         key(std::move(key)) {}
 
-  // Goes out with the whole refusal, in one message.
+  // Sent together with the refusal that follows, in one message.
   void Decline() override { this->next.declined = true; }
 
-  // The head goes out with the first bytes, in one message.
+  // The head is sent together with the first bytes, in one message.
   void Start(const AnswerStart& start) override {
     this->started = true;
     this->next.head = {.status = start.status,
@@ -41,7 +41,7 @@
     if (this->missing) {
       *this->missing -= std::min<uint64_t>(*this->missing, bytes.size());
     }
-    // The last bytes of a declared length go out with the end.
+    // The last bytes of a declared length are sent together with the end.
     if (!this->missing || *this->missing > 0) {
       this->Flush(AnswerEnd::kMore);
     }
@@ -54,7 +54,7 @@
 
   void Break() override { this->Flush(AnswerEnd::kBroken); }
 
-  // The host that has the caller knows; it says when to pause.
+  // The ingress host tracks the unsent bytes, and asks for pauses.
   size_t Unsent() const override { return this->paused ? SIZE_MAX : 0; }
 
   void SetPaused(bool to) {
@@ -64,7 +64,7 @@
     }
   }
 
-  // The caller hung up, or the host that has it is gone.
+  // The caller disconnected, or the link to the ingress host broke.
   void OnCancelled() { this->TellGone(); }
 
  private:
@@ -85,8 +85,9 @@
     }
   }
 
-  // What couldn't be sent is missing from the answer for good. The handler is
-  // told later, since it has just called.
+  // Bytes that could not be sent are missing from the answer, so the request is
+  // cancelled. The handler is notified from a timer, since this runs within a
+  // call of the handler.
   void CancelLater() {
     this->failure = Timer::After(Duration{}, [this] {
       const auto keep = this->shared_from_this();
@@ -98,7 +99,7 @@
   ForwardReceiver* receiver;
   ForwardReceiver::Key key;
   ForwardedAnswer next;             // not yet sent
-  std::optional<uint64_t> missing;  // of the declared length
+  std::optional<uint64_t> missing;  // bytes left of the declared length
   bool paused = false;
   std::unique_ptr<Timer> failure;
 };
--- a/packages/relay/forward_receiver.h
+++ b/packages/relay/forward_receiver.h
@@ -1,8 +1,13 @@
-// A scheduler's side of forwarding: takes requests that other hosts have read,
+// The scheduler's side of forwarding: receives requests from ingress hosts,
 // hands them to the relay, and sends the answers back over the same link.
 //
-// A link that breaks ends all requests that came over it: the host at its other
-// end sends them to another scheduler, or is gone with its callers.
+// When a link breaks, all requests that arrived over it are cancelled: the
+// ingress host sends them to another scheduler, or has failed together with its
+// callers' connections.
+//
+// Index
+//   RequestOrigin     where a request came from, and its earlier sends
+//   ForwardReceiver   the requests of all links
 
 #pragma once
 
@@ -15,20 +20,22 @@
 
 namespace hickorystand {
 
-// Where a request came from, and what became of it before.
+// Where a request came from, and its progress at earlier schedulers.
 struct RequestOrigin {
-  HostId host;     // that forwarded it; empty: the caller is connected here
-  Duration age{};  // since it was read there
-  // Runs that may have been started by schedulers that were lost.
+  HostId host;     // ingress host; empty: the caller is connected here
+  Duration age{};  // since the ingress host read it
+  // Sends to schedulers that were lost and may have started a run.
   int64_t earlier_sends = 0;
-  std::optional<int64_t> resume_after;  // the last event that the caller has
-  bool stream_begun = false;            // the caller has the answer's head
-  // The time that the forwarding host's process has left, if it stops.
+  std::optional<int64_t> resume_after;  // last event that the caller received
+  bool stream_begun = false;            // the answer's head has been sent
+  // Time until the ingress host's process ends, if it is shutting down.
   std::optional<Duration> finish_within;
 };
 
 class ForwardedExchange;
 
+// Driven by the daemon with the messages and events of the links. The handler
+// gets each complete request as a CallerExchange.
 class ForwardReceiver {
  public:
   using SendTo = std::function<bool(const HostId&, const PeerMessage&)>;
@@ -41,12 +48,12 @@
   ForwardReceiver(const ForwardReceiver&) = delete;
   ForwardReceiver& operator=(const ForwardReceiver&) = delete;
 
-  // What a host that forwards says.
+  // Messages of an ingress host.
   void OnRequest(const HostId& from, ForwardedRequest request);
   void OnBody(const HostId& from, const ForwardedBody& body);
   void OnControl(const HostId& from, const ForwardControl& control);
 
-  // The link to a host broke, or was replaced by a new one.
+  // Called when the link to a host broke or was replaced; cancels its requests.
   void OnLost(const HostId& from);
 
   // Whether requests of a host wait for an answer.
@@ -66,7 +73,7 @@
   SendTo send;
   Handler handler;
   Exchanges exchanges;
-  std::map<Key, ForwardedRequest> partial;  // their bodies aren't whole
+  std::map<Key, ForwardedRequest> partial;  // with incomplete bodies
 };
 
 }  // namespace hickorystand
--- a/packages/relay/relayed_answer.cc
+++ b/packages/relay/relayed_answer.cc
@@ -1,5 +1,5 @@
-// What endpoints answer to a request, and what that means for it. How it is
-// placed and sent, and how it ends, is in relayed_request.cc.
+// RelayedRequest's handling of endpoint answers. Placing, sending and the end
+// of a request are in relayed_request.cc.
 
 #include <utility>
 
@@ -8,14 +8,16 @@
 namespace hickorystand {
 namespace {
 
-// An answer up to this size is held until it is whole, so that one that turns
-// out broken can be asked for again. Longer ones are passed on as they come.
+// An answer up to this size is buffered until it is complete, so that the
+// request can be sent again if the answer breaks. Longer answers are forwarded
+// as they arrive.
 constexpr size_t kHeldAnswer = size_t{256} << 10;
 
-// Bytes that a slow caller may leave unread before its endpoint has to wait.
+// Flow control: with more bytes unread by a slow caller, reading from the
+// endpoint pauses.
 constexpr size_t kUnsentLimit = size_t{256} << 10;
 
-// An endpoint's answer to a call for another process or another role.
+// Status of an endpoint that was called as another process or in another role.
 constexpr int kMisdirected = 421;
 
 }  // namespace
@@ -53,7 +55,7 @@
     return;
   }
   if (!good) {
-    at.body.resize(kHeldAnswer);  // is not passed on as it is anyway
+    at.body.resize(kHeldAnswer);  // never forwarded, so it may be cut
     return;
   }
   at.passing = true;
@@ -99,7 +101,8 @@
                                 {{"service", this->service.Text()}});
 }
 
-// Keeps what a caller of a stream notices: its start and its longest pause.
+// Records the latency that a caller of a stream sees: its first event and its
+// longest pause between events.
 void RelayedRequest::NoteEvent() {
   const Instant now = this->relay->clock->Now();
   if (this->first_event) {
@@ -168,7 +171,7 @@
   return this->JudgeWhole();
 }
 
-// Judges an answer that ended in order, and passes it on if it is one.
+// Classifies a complete answer, and forwards it if it is valid.
 RelayedRequest::Fate RelayedRequest::JudgeWhole() {
   Attempt& at = *this->attempt;
   if (at.answer.not_run) {
@@ -177,14 +180,15 @@
   const bool ours = at.answer.sealed && !at.answer.encoded && !at.foreign;
   const bool promise = at.status == 429 || at.status == 503 ||
                        at.status == 408 || at.status == 421;
-  // Without the proof that the endpoint wrote it, nothing of it is an answer;
-  // and a status that promises "not run" may only be passed on when it is so.
+  // Without the seal the answer may be from something other than the endpoint.
+  // A status that promises "not run" may be forwarded only if the endpoint
+  // states that nothing ran.
   if (!ours || promise) {
     return Fate::kMayHaveRun;
   }
   if (this->StreamBegun()) {
     if (at.status / 100 != 2) {
-      return Fate::kMayHaveRun;  // of a resumed run; can't be told any more
+      return Fate::kMayHaveRun;  // the stream's status is already sent
     }
     if (!this->caller->Started()) {
       this->StartAnswer({});
@@ -197,7 +201,7 @@
   }
   if (at.status / 100 == 5 && MayRunAgain(this->route->kind) &&
       this->MaySendAgain()) {
-    // Goes on in AfterFailure, which must not charge the budget again.
+    // AfterFailure sends the retry and must not charge the budget again.
     this->NoteBegun();
     this->retry_charged = true;
     return Fate::kMayHaveRun;
@@ -215,7 +219,7 @@
   return Fate::kDone;
 }
 
-// Remembers what became of an attempt, for later placing.
+// Reports an attempt's outcome to the placement.
 void RelayedRequest::NoteOutcome(const Attempt& at, bool good) {
   const Instant now = this->relay->clock->Now();
   if (at.status == kMisdirected) {
@@ -225,7 +229,7 @@
   }
 }
 
-// A reading call has ended.
+// Handles the end of a prefill call.
 void RelayedRequest::OnRead(HttpEnd end) {
   const Instant now = this->relay->clock->Now();
   const Attempt at = std::move(*this->attempt);
@@ -250,17 +254,18 @@
                    {{"endpoint", at.endpoint.run.id.Text()},
                     {"status", std::to_string(at.status)},
                     {"why", read.error().message}});
-  // Nothing of the request has run, whatever became of the prompt. The call
-  // counts as one arrival more, since an accepted one would have been free.
+  // The request itself has not run, whether or not the prompt was prefilled.
+  // The failed call counts as an arrival; a successful one does not.
   this->tried.insert(at.endpoint.run.id);
   if (++this->arrivals > 1 || !this->WorthSending() ||
       !this->relay->budget.Take(now, this->service)) {
     this->AfterFailure(Fate::kNotRun, "the prompt was not read");
     return;
   }
-  // Placed anew, and refused if it has become hopeless. Read at a generating
-  // engine instead, whatever waits there, it held up that engine's streams: on
-  // 32 played days 0.845 of the payoff was earned that way, and 0.876 this way.
+  // Placed again, and refused if it can't be answered in time any more. A
+  // prefill on a decode engine regardless of its queue delays that engine's
+  // streams: over 32 simulated days that earned 0.845 of the payoff, and
+  // placing again earned 0.876.
   this->Place();
 }
 
--- a/packages/relay/relayed_request.cc
+++ b/packages/relay/relayed_request.cc
@@ -11,17 +11,18 @@
 namespace hickorystand {
 namespace {
 
-// A rest of time too short for a send to be worth it.
+// With less time left than this, a send could not be answered in time.
 constexpr Duration kLeastLeft = std::chrono::milliseconds(60);
 
-// Time that the endpoint is given less than the caller has, for the way back.
+// The endpoint's deadline is this much before the caller's, which leaves time
+// for the answer's way back.
 constexpr Duration kWayBack = std::chrono::milliseconds(5);
 
-// Until a caller may come back when keys can't be trusted: the next proof is
-// due within a second.
+// Retry-After while the configuration may be outdated: the store confirms it
+// again within a second.
 constexpr Duration kProofReturn = std::chrono::milliseconds(700);
 
-// Callers come back within a third of the time they have left, or not at all.
+// Callers retry within a third of the time they have left, or not at all.
 constexpr double kReturnShare = 0.33;
 constexpr Duration kLeastReturn = std::chrono::milliseconds(100);
 
@@ -69,8 +70,8 @@
   this->Place();
 }
 
-// Goes on with a request that another scheduler had when it was lost. It may
-// have run there, and what it had read or used up isn't known.
+// Continues a request of a scheduler that was lost. The request may have run
+// there; whether its prompt was prefilled and which sends it used is unknown.
 void RelayedRequest::TakeOver() {
   this->may_have_run = true;
   this->prompt_accepted = true;
@@ -139,8 +140,9 @@
   return this->CheckStop();
 }
 
-// Refuses what the end of a process would cut: of this one, or of the one that
-// has the caller. A stream that goes on here had been taken before.
+// Refuses a request that would be cut off by the end of this process or of the
+// one that has the caller's connection. A resumed stream was admitted before,
+// so it isn't refused.
 std::optional<Error> RelayedRequest::CheckStop() {
   const Instant now = this->relay->clock->Now();
   const std::optional<StopSchedule>& stop = this->relay->stop;
@@ -239,8 +241,8 @@
   return this->Left() > kLeastLeft;
 }
 
-// Takes what the next run counts against the account's limit. False if it can't
-// be had, or not yet.
+// Takes the next run's tokens from the account's limit. Returns false if they
+// are refused, or if the decision is pending.
 bool RelayedRequest::TakeTokens() {
   if (this->tokens_held || this->tokens.cost == 0 ||
       this->relay->limit_gate == nullptr) {
@@ -296,7 +298,7 @@
                            verdict.retry_after);
 }
 
-// Gives back what was taken for a run that wasn't sent.
+// Returns the tokens of a run that wasn't sent.
 void RelayedRequest::ReleaseTokens() {
   if (std::exchange(this->tokens_asked, false)) {
     this->relay->limit_gate->Cancel(this->tokens.number);
@@ -335,15 +337,17 @@
   }
 }
 
-// Whether the request may go to a further endpoint, which is charged.
+// Whether the request may be sent to another endpoint; if so, charges the retry
+// budget.
 bool RelayedRequest::MaySendAgain() {
   const bool attempts_left = this->runs_sent < this->route->max_attempts;
   return attempts_left && this->WorthSending() &&
          this->relay->budget.Take(this->relay->clock->Now(), this->service);
 }
 
-// The first reading call that an engine accepts is no repeat, any further one
-// is, and the repeat that it belongs to has been charged for itself alone.
+// The first prefill call that an engine accepts is no retry; any further one is
+// charged to the retry budget, since the charge for the retried run covers the
+// run alone.
 bool RelayedRequest::MayPrefillApart() {
   return this->request.prompt_tokens >=
              this->relay->settings.split_from_tokens &&
@@ -478,13 +482,14 @@
                       {"status", std::to_string(this->attempt->status)},
                       {"why", std::string(why)}});
     this->attempt.reset();
-    // What surely hasn't run is kept for the next send, or given back.
+    // The tokens of a run that did not happen serve the next send, or are
+    // returned at the end.
     this->tokens_held =
         this->tokens_held || (fate == Fate::kNotRun && this->tokens.cost > 0 &&
                               this->relay->limit_gate != nullptr);
   }
   if (this->caller->Started() && !IsStream(this->route->kind)) {
-    this->BreakOff(why);  // another run can't go on with this answer
+    this->BreakOff(why);  // only streams can be resumed by another run
     return;
   }
   this->cutter.DropRest();
@@ -517,14 +522,14 @@
   this->stall_timer = Timer::After(limit, [this] { this->OnStall(); });
 }
 
-// Nothing came for long. The old send is cancelled before the next one goes
-// out, so that two endpoints never work on it for long.
+// No answer within the stall timeout. The attempt is cancelled before the next
+// one is sent, so that two endpoints don't work on the request for long.
 void RelayedRequest::OnStall() {
   const auto keep = this->shared_from_this();
   this->stall_timer.reset();
   if (!this->attempt->reading &&
       (this->runs_sent >= this->route->max_attempts || !this->WorthSending())) {
-    return;  // nowhere to go: it may still come
+    return;  // no other attempt is possible, and this one may still answer
   }
   this->attempt->exchange->Cancel();
   if (this->attempt->reading) {
@@ -583,7 +588,7 @@
        {"stopping_ms", this->relay->StoppingText()}});
 }
 
-// Cancels what is under way, at the endpoint too.
+// Cancels the attempt, at the endpoint too, and frees a prefilled prompt.
 void RelayedRequest::EndAttempt() {
   this->stall_timer.reset();
   this->deadline_timer.reset();
@@ -596,7 +601,7 @@
   this->DropHandle();
 }
 
-// Frees the memory of a prompt that nobody takes any more.
+// Frees the engine memory of a prefilled prompt that no run will fetch.
 void RelayedRequest::DropHandle() {
   if (this->handle.empty()) {
     return;
@@ -621,15 +626,15 @@
 }
 
 void RelayedRequest::RefuseNotRun(std::string_view why, Duration retry_after) {
-  // A time beyond what the caller will wait would keep it away for nothing.
+  // With a Retry-After beyond its own deadline the caller could not retry.
   const Duration most = FromSeconds(ToSeconds(this->Left()) * kReturnShare);
   this->AnswerError(
       ErrorKind::kNoEndpoint, why,
       std::clamp(retry_after, Duration{}, std::max(most, Duration{})));
 }
 
-// Answers "not run" only if no endpoint can have run the request, as the caller
-// may then safely repeat it.
+// Answers "not run" only if no endpoint can have run the request, since the
+// caller may then safely repeat it.
 void RelayedRequest::FailWithoutSending(ErrorKind kind,
                                         std::string_view why,
                                         Duration retry_after) {
--- a/packages/relay/relayed_request.h
+++ b/packages/relay/relayed_request.h
@@ -1,16 +1,19 @@
-// The life of one caller's request in the relay.
+// State machine of one caller's request in the relay.
 //
-//   Begin: read headers, find route and account
-//   -> TakeTokens of the account's limit -> Place -> SendRun
-//                                     |       |  `-> SendPrefill -> SendRun
-//                                     |       `-> Refuse
-//                                     `-> Refuse
-//   answer whole -> pass it on
-//   surely not run -> Place again, or refuse as not run
-//   may have run   -> Place again if it may repeat, else answer that the
-//                     outcome is unknown
-//   stream broken  -> go on at another endpoint behind the last whole event,
-//                     or break off so that the caller sees it
+//   Begin: read the headers, look up route and account
+//   -> TakeTokens from the account's limit -> Place -> SendRun
+//                                       |       |  `-> SendPrefill -> SendRun
+//                                       |       `-> refuse
+//                                       `-> refuse
+//   complete answer -> forward it to the caller
+//   did not run     -> Place again, or refuse as not run
+//   may have run    -> Place again if the request may be repeated, else answer
+//                      that the outcome is unknown
+//   broken stream   -> resume at another endpoint after the last complete
+//                      event, or abort the answer so that the caller sees it
+//
+// Index
+//   RelayedRequest   the request; FleetRelay owns it until it is answered
 
 #pragma once
 
@@ -24,6 +27,9 @@
 
 namespace hickorystand {
 
+// Created by FleetRelay::Serve. Placing and sending are in relayed_request.cc,
+// the handling of endpoint answers is in relayed_answer.cc. All failures end in
+// an answer to the caller; no function returns one to the relay.
 class RelayedRequest : public std::enable_shared_from_this<RelayedRequest> {
  public:
   RelayedRequest(FleetRelay* relay,
@@ -33,38 +39,38 @@
   RelayedRequest(const RelayedRequest&) = delete;
   RelayedRequest& operator=(const RelayedRequest&) = delete;
 
-  // Starts on it.
+  // Admits the request and sends it, or resumes it after a scheduler was lost.
   void Begin();
 
-  // Drops it without an answer; the process ends.
+  // Cancels the request without an answer, at the end of the process.
   void Abandon();
 
-  // This host stops. A request of a caller that is connected here ends when the
-  // schedule does; another host goes on with those that it forwarded.
+  // This host shuts down. A request whose caller is connected here ends by the
+  // end of the schedule; a forwarded request is continued by its ingress host.
   void OnStop(const StopSchedule& schedule);
 
-  // Logs that it is unfinished at the end of the process.
+  // Logs a request that is unfinished at the end of the process.
   void LogUnfinished() const;
 
  private:
-  // The one send under way.
+  // The send in progress; there is at most one.
   struct Attempt {
     FleetEndpoint endpoint;
     EndpointExchangePtr exchange;
     WorkId work = 0;
     Instant sent{};
     Duration expected{};   // to the first byte
-    bool reading = false;  // reads the prompt for another endpoint
+    bool reading = false;  // prefill call; another endpoint generates
     int status = 0;
     EndpointAnswer answer;
     HttpHeaders headers;
-    std::string body;      // held until it is whole
-    bool foreign = false;  // bears no id, or another request's
-    bool passing = false;  // the body goes on to the caller as it comes
+    std::string body;      // buffered until complete
+    bool foreign = false;  // the answer has no request id
+    bool passing = false;  // the body is forwarded as it arrives
     std::optional<Instant> first_byte_at;
   };
 
-  // What an attempt's end means for the request.
+  // Whether an attempt answered, did not run, or may have run.
   enum class Fate { kDone, kNotRun, kMayHaveRun };
 
   std::optional<Error> Admit();
@@ -72,8 +78,8 @@
   std::optional<Error> CheckKey();
   std::optional<Error> CheckStop();
   void ArmDeadline();
-  // How long the answer takes from now on: from the request's arrival, or from
-  // the send of its run.
+  // Start of the measured answer time: the request's arrival, or the send of
+  // its run.
   enum class Step { kArrival, kRun };
   AnswerKind Kind() const;
   std::string_view StopReason() const;
@@ -117,7 +123,7 @@
   void DropHandle();
   void EndAttempt();
 
-  // Final answers of this host's own.
+  // Final answers that this host generates itself.
   void AnswerError(ErrorKind kind,
                    std::string_view why,
                    std::optional<Duration> retry_after = {});
@@ -130,7 +136,7 @@
 
   Duration Left() const;
 
-  // Whether there is time enough for another send.
+  // Whether the time left suffices for another send.
   bool WorthSending() const;
   bool StreamBegun() const {
     return this->caller->Started() || this->origin.stream_begun;
@@ -140,36 +146,36 @@
   CallerExchangePtr caller;
   RequestOrigin origin;
   CallerRequest request;
-  FleetConfigurationPtr configuration;  // in force when it came
-  const Route* route = nullptr;         // of that configuration
+  FleetConfigurationPtr configuration;  // in force at the arrival
+  const Route* route = nullptr;         // in `configuration`
   ServiceId service;
   AccountId account;
   std::optional<int64_t> priority;
-  LimitAsk tokens;            // of the account's limit; no cost: none needed
-  bool tokens_held = false;   // taken for the next run, which isn't sent yet
-  bool tokens_asked = false;  // waits for them
+  LimitAsk tokens;            // of the account's limit; cost 0: no limit
+  bool tokens_held = false;   // granted for the next run, not yet sent
+  bool tokens_asked = false;  // the limit gate has not decided yet
   WorkShape shape;
   uint64_t fingerprint = 0;
   Instant arrived{};
   Instant deadline{};
-  // When the process that has the caller ends, if that one stops.
+  // End of the process that has the caller's connection, if it shuts down.
   std::optional<Instant> finish_by;
   std::shared_ptr<const std::string> body;
   std::unique_ptr<Attempt> attempt;
   std::set<EndpointId> tried;
-  int64_t runs_sent = 0;  // sends that may run the request
-  int64_t arrivals = 0;   // of those, and of reading calls beyond the first
-  bool prompt_accepted = false;  // by a reading call, for all that is known
+  int64_t runs_sent = 0;         // sends that may run the request
+  int64_t arrivals = 0;          // `runs_sent` and failed prefill calls
+  bool prompt_accepted = false;  // an engine may have accepted a prefill call
   bool may_have_run = false;
   bool begun = false;
   bool over = false;
-  bool retry_charged = false;  // the budget has paid for the next send
-  SocketAddress handle_at;     // of a prompt that was read and not yet taken
+  bool retry_charged = false;  // the next send is charged to the retry budget
+  SocketAddress handle_at;     // engine that holds the prefilled prompt
   std::string handle;
   EventCutter cutter;
-  std::optional<Instant> first_event;  // passed on to the caller
+  std::optional<Instant> first_event;  // forwarded to the caller
   Instant last_event{};
-  Duration longest_pause{};  // between two passed on
+  Duration longest_pause{};  // between two forwarded events
   std::unique_ptr<Timer> deadline_timer;
   std::unique_ptr<Timer> stall_timer;
 };
--- a/packages/relay/request_forwarder.cc
+++ b/packages/relay/request_forwarder.cc
@@ -10,21 +10,23 @@
 
 constexpr std::string_view kPart = "forward";
 
-// Schedulers that one request is sent to, one after the other.
+// The most schedulers that one request is sent to, one after the other.
 constexpr int64_t kMostSends = 3;
 
-// The part of a request's body in one message.
+// Bytes of a request's body per message.
 constexpr size_t kBodyPart = size_t{256} << 10;
 
-// Bytes that a slow caller may leave unread before the scheduler has to wait.
+// Flow control: with more bytes unread by a slow caller, the scheduler is asked
+// to pause the answer.
 constexpr size_t kUnsentLimit = size_t{256} << 10;
 
-// Schedulers answer in time themselves; this much later one is taken for hung.
+// Schedulers answer by the caller's deadline themselves. One that has not done
+// so this much later is considered hung.
 constexpr Duration kDeadlineMargin = std::chrono::milliseconds(150);
 constexpr Duration kDefaultPatience = std::chrono::seconds(30);
 
-// Until a caller may come back while no scheduler is linked: they are dialled
-// again within this time.
+// Retry-After while no scheduler is connected: connections to schedulers are
+// attempted again within this time.
 constexpr Duration kLinkReturn = std::chrono::milliseconds(600);
 
 constexpr int kLogBurst = 300;
@@ -96,8 +98,7 @@
   }
   call->request = read->id;
   const Duration patience = read->patience.value_or(kDefaultPatience);
-  // How long answers take is known to schedulers: until `takes_until` they
-  // decide.
+  // Schedulers know how long answers take, so they decide until `takes_until`.
   if (this->stop && call->arrived >= this->stop->takes_until &&
       !this->stop->MayTake(call->arrived, {.limit = patience})) {
     this->GiveUp(*call, ErrorKind::kShuttingDown, kStopping);
@@ -142,7 +143,8 @@
   call->scheduler = *to;
   call->tried.insert(*to);
   if (!this->SendRequest(*call, *to, number)) {
-    // Not whole there, so it doesn't run: the link is down or full.
+    // The link is down or its buffer is full. The scheduler has no complete
+    // request, so it doesn't run it.
     this->send(*to, ForwardControl{.number = number});
     this->Forward(call);
     return;
@@ -210,8 +212,8 @@
   }
 }
 
-// Forwards a request that its scheduler has declined. False if no other one can
-// take it: then the answer that came with it is the caller's.
+// Forwards a declined request to another scheduler. Returns false if there is
+// none; then the refusal that came with it is forwarded to the caller.
 bool RequestForwarder::ForwardDeclined(int64_t number, const CallPtr& call) {
   ++call->declined;
   this->metrics->Add("forwards_declined_total", 1);
@@ -225,8 +227,8 @@
   return true;
 }
 
-// A stream that goes on from another scheduler has its head already; any other
-// answer in its place can't be passed on any more.
+// The head of a resumed stream has been sent already. If the new scheduler
+// answers with an error status instead, the answer can only be aborted.
 void RequestForwarder::StartAnswer(Call& call, const ForwardedHead& head) {
   if (!call.caller->Started()) {
     call.streams = IsEventStream(head.headers);
@@ -325,7 +327,8 @@
   }
 }
 
-// Ends a request with an answer of this host's own.
+// Ends a request with an error answer of this host, or aborts the answer if its
+// head has been sent.
 void RequestForwarder::GiveUp(Call& call, ErrorKind kind, const Reason& why) {
   this->metrics->Add("ingress_errors_total", 1,
                      {{"reason", std::string(why.label)}});
--- a/packages/relay/request_forwarder.h
+++ b/packages/relay/request_forwarder.h
@@ -1,11 +1,14 @@
-// An ingress host's side of forwarding: hands each request that a caller sent
-// to a scheduler, and passes the answer on as it comes.
+// The ingress host's side of forwarding: sends each caller's request to a
+// scheduler, and forwards the answer to the caller as it arrives.
 //
-// While a scheduler answers nothing has to be decided here. When one is lost,
-// its requests go to another one, which is told how far they got: it knows the
-// routes, so it decides whether they may run again. A request that a scheduler
-// declines hasn't run there and goes to another one as if it had never been
-// sent.
+// The ingress host makes no routing decisions. When a scheduler is lost, its
+// requests are sent to another one together with their progress; the new
+// scheduler knows the routes and decides whether they may run again. A request
+// that a scheduler declines has not run there, and is sent to another one as if
+// it had not been sent before.
+//
+// Index
+//   RequestForwarder   the requests of callers that are connected here
 
 #pragma once
 
@@ -26,6 +29,9 @@
 
 namespace hickorystand {
 
+// Driven by the daemon: OnRequest for each caller's request, the other On...
+// functions for messages and events of the links to schedulers. A request that
+// can't be forwarded is answered with an error of this host.
 class RequestForwarder {
  public:
   using SendTo = std::function<bool(const HostId&, const PeerMessage&)>;
@@ -39,39 +45,41 @@
   RequestForwarder(const RequestForwarder&) = delete;
   RequestForwarder& operator=(const RequestForwarder&) = delete;
 
-  // A caller's request.
+  // Forwards a caller's request, or answers it with an error.
   void OnRequest(const CallerExchangePtr& caller);
 
-  // The schedulers that may be chosen, what one says, and one that is lost.
+  // Inputs: the list of eligible schedulers, one scheduler's reported state, a
+  // part of an answer, and the loss of the link to a scheduler.
   void SetSchedulers(const std::vector<FleetHost>& schedulers);
   void OnNews(const HostId& from, const SchedulerNews& news);
   void OnAnswer(const HostId& from, const ForwardedAnswer& part);
   void OnLost(const HostId& scheduler);
 
-  // Notes that this host has applied a configuration version itself.
+  // Records a configuration version that this host has applied itself.
   void NoteAppliedVersion(int64_t version) {
     this->choice.NoteAppliedVersion(version);
   }
 
-  // This host stops: schedulers are told how long a request may last, what
-  // can't be finished is refused, and all calls end when the schedule does.
+  // Starts the drain of this host: forwarded requests carry the time left,
+  // requests that can't be finished in it are refused, and all calls end by the
+  // end of the schedule.
   void StartDrain(const StopSchedule& schedule);
 
   // Logs each request that is unfinished at the end of the process.
   void LogUnfinished();
 
-  // Whether a scheduler has requests of this host.
+  // Whether requests of this host wait for an answer of the scheduler.
   bool HasRequestsAt(const HostId& scheduler) const;
 
   // The newest configuration version reported by any scheduler or applied by
   // this host.
   int64_t NewestConfigurationVersion() const { return this->choice.Version(); }
 
-  // Whether requests can be served.
+  // Whether a scheduler is available that can serve requests.
   bool Ready() const { return this->choice.Ready(); }
 
  private:
-  // Why this host ended a request itself, in answers and in metrics.
+  // Why this host ended a request itself: text of the answer, metric label.
   struct Reason {
     std::string_view text;
     std::string_view label;
@@ -87,14 +95,14 @@
   struct Call {
     CallerExchangePtr caller;
     RequestId request;
-    int64_t number = 0;  // at the scheduler that has it now
+    int64_t number = 0;  // identifies it on the link to `scheduler`
     HostId scheduler;
     Instant arrived{};
-    Instant give_up_at{};  // without an answer of a scheduler
+    Instant give_up_at{};  // when it is ended without a scheduler's answer
     int64_t sends = 0;     // to schedulers
-    int64_t declined = 0;  // of the sends: surely not run
+    int64_t declined = 0;  // of the sends; these did not run
     std::set<HostId> tried;
-    EventCutter events;  // knows the last event that was passed on
+    EventCutter events;  // tracks the id of the last forwarded event
     bool streams = false;
     bool paused = false;
     std::unique_ptr<Timer> deadline;
