--- a/packages/relay/endpoint_pool.cc
+++ b/packages/relay/endpoint_pool.cc
@@ -7,7 +7,7 @@
 namespace hickorystand {
 namespace {
 
-// The seconds that a Keep-Alive header grants an idle connection.
+// The `timeout` of a Keep-Alive header.
 std::optional<Duration> IdleTimeout(const HttpHeaders& headers) {
   const std::string value = FindHeader(headers, "Keep-Alive").value_or("");
   const size_t at = value.find("timeout=");
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-// One connection: opening, carrying an exchange, or idle.
+// One connection, which is connecting, carries an exchange, or is idle.
 class EndpointConnection
     : public std::enable_shared_from_this<EndpointConnection> {
  public:
@@ -63,7 +63,7 @@
     }
   }
 
-  // Ends the connection and tells its exchange how.
+  // Resets the connection and ends its exchange with `end`.
   void Fail(HttpEnd end) {
     const auto keep = this->shared_from_this();
     this->timer.reset();
@@ -103,7 +103,8 @@
       return;
     }
     this->wanted = this->exchange->events.on_head(head);
-    // What else comes out of order here can't be told apart from answers.
+    // After an answer to another request, later ones on this connection can't
+    // be matched to requests reliably, so it isn't reused.
     this->reusable = this->reusable && this->wanted;
   }
 
@@ -116,7 +117,7 @@
   void OnBytes(std::string_view bytes) {
     const auto keep = this->shared_from_this();
     if (!this->exchange) {
-      this->Drop();  // nobody asked: these bytes belong to no request
+      this->Drop();  // unsolicited bytes on an idle connection
       return;
     }
     this->parser.Feed(bytes);
@@ -127,7 +128,7 @@
     while (this->exchange) {
       this->parser.Read();
       if (!this->exchange) {
-        return;  // cancelled from within
+        return;  // cancelled by a callback
       }
       if (this->parser.Failure() != Http1Failure::kNone) {
         this->Fail(HttpEnd::kProtocol);
@@ -146,8 +147,8 @@
 
   void OnWhole() {
     const auto keep = this->shared_from_this();
-    // An endpoint may answer before it has read a long body, and would take
-    // the next request's bytes for the rest of it.
+    // An endpoint may answer before it has read all of a long body. On a reused
+    // connection it would read the next request as the rest of that body.
     const bool reuse = this->reusable && this->head.keep_alive &&
                        this->parser.Unread() == 0 &&
                        this->socket->Unsent() == 0 && this->socket->Open();
@@ -186,7 +187,8 @@
       this->Fail(HttpEnd::kNotSent);
       return;
     }
-    // A body without a length ends with its connection, but not by a reset.
+    // A body without a length ends when the connection is closed; a reset means
+    // that it is truncated.
     if (end == StreamEnd::kClosed && this->wanted && this->parser.Finish()) {
       this->OnWhole();
       return;
@@ -275,7 +277,7 @@
 
 std::shared_ptr<EndpointConnection> EndpointPool::TakeIdle(Lane& lane,
                                                            bool once) {
-  // The one used last is the least likely to be closed just now.
+  // The endpoint is least likely to be closing the most recently used one.
   if (lane.idle.empty()) {
     return {};
   }
--- a/packages/relay/endpoint_pool.h
+++ b/packages/relay/endpoint_pool.h
@@ -1,11 +1,19 @@
-// The relay's connections to endpoints: one request at a time on each, kept
-// open between requests, and an exact account of how each exchange ended.
+// Pool of HTTP/1.1 keep-alive connections to endpoints. Each connection carries
+// one exchange at a time. The end of an exchange states whether the request
+// can have reached the endpoint.
+//
+//   EndpointExchangePtr exchange = pool.Send({.address = address,
+//                                             .head = head},
+//                                            {.on_head = ...,
+//                                             .on_bytes = ...,
+//                                             .on_end = ...});
 //
 // Index
-//   EndpointSend       what is sent
-//   EndpointEvents     callbacks
-//   EndpointExchange   one exchange under way
-//   EndpointPool       the connections
+//   EndpointSend          a request
+//   EndpointEvents        callbacks of an exchange
+//   EndpointExchange      a request and its answer
+//   EndpointPoolOptions   timeouts and reuse of connections
+//   EndpointPool          the connections
 
 #pragma once
 
@@ -28,17 +36,19 @@
   std::string head;  // start line and headers, up to the empty line
   std::shared_ptr<const std::string> body;  // may be null
   bool no_answer_body = false;              // the method is HEAD
-  // A kept connection may have been closed by the other end a moment ago, and
-  // then nobody knows whether the request ran. One that must not run twice
-  // goes only on connections that were used this recently; others are new.
+  // The request must not run twice. An idle connection may have been closed by
+  // the endpoint just now; whether a request sent on it has run is then
+  // unknown. Such a request therefore goes only on connections that were used
+  // recently (EndpointPoolOptions::once_idle_share), and otherwise on a new
+  // one.
   bool once = false;
 };
 
 // Callbacks of one exchange.
 struct EndpointEvents {
-  // Whether an answer is the one to this request. A faulty endpoint may send a
-  // late second answer to the request before: it is dropped, and reading goes
-  // on.
+  // Returns whether the answer belongs to this request. A faulty endpoint may
+  // send a late second answer to the previous request: return false to drop it
+  // and to read the next one.
   std::function<bool(const Http1Head&)> on_head;
   std::function<void(std::string_view)> on_bytes;
   std::function<void(HttpEnd)> on_end;  // last, once
@@ -46,13 +56,14 @@
 
 class EndpointConnection;
 
-// One exchange. Dropping it doesn't end it; Cancel does.
+// One exchange in progress. It continues when the last pointer to it is
+// dropped; only Cancel ends it.
 class EndpointExchange {
  public:
-  // Ends the exchange and closes its connection. on_end is not called.
+  // Ends the exchange and closes its connection, without a call of `on_end`.
   void Cancel();
 
-  // Stops reading, so that the endpoint has to wait, and goes on.
+  // Flow control: stops and resumes reading from the connection.
   void Pause();
   void Resume();
 
@@ -70,24 +81,25 @@
 
 using EndpointExchangePtr = std::shared_ptr<EndpointExchange>;
 
-// How a pool behaves.
+// Timeouts of connections, and their reuse.
 struct EndpointPoolOptions {
-  // A host answers a connect in one round trip, or its packet was lost and
-  // comes again after a second.
+  // Shorter than TCP's first retransmission, which comes after a second: a
+  // connect takes one round trip unless a packet is lost.
   Duration connect_limit = std::chrono::milliseconds(600);
-  // How long sent bytes may stay unacknowledged. A connection that somebody
-  // between has forgotten shows only by that.
+  // TCP user timeout: how long sent bytes may stay unacknowledged. It is the
+  // only sign of a connection whose state a middlebox has dropped.
   Duration silence = std::chrono::milliseconds(900);
-  // Idle time of a kept connection whose other end named none.
+  // Idle timeout of a connection if the endpoint sends no Keep-Alive timeout.
   Duration default_idle = std::chrono::seconds(4);
-  // Kept connections are given up this much before the other end would.
+  // Idle connections are closed this much before the endpoint would close them.
   Duration idle_margin = std::chrono::milliseconds(900);
-  // Share of the idle time within which a connection may carry a request that
-  // must not run twice.
+  // Share of the idle timeout within which an idle connection may carry a
+  // request that must not run twice.
   double once_idle_share = 0.5;
 };
 
-// All connections to endpoints.
+// All connections to endpoints. Failures are reported as the HttpEnd of an
+// exchange.
 class EndpointPool {
  public:
   explicit EndpointPool(const Clock& clock, EndpointPoolOptions options = {});
@@ -95,13 +107,13 @@
   EndpointPool(const EndpointPool&) = delete;
   EndpointPool& operator=(const EndpointPool&) = delete;
 
-  // Sends a request; `events` are called later, never from within.
+  // Sends a request. `events` are called later, never during this call.
   EndpointExchangePtr Send(const EndpointSend& send, EndpointEvents events);
 
-  // Whether a connection to an address is open and idle.
+  // Whether an idle connection to the address is open.
   bool HasIdle(const SocketAddress& address) const;
 
-  // Closes the idle connections to an address whose process is gone.
+  // Closes the idle connections to an address whose process has ended.
   void Forget(const SocketAddress& address);
 
   size_t Connections() const;
--- a/packages/relay/event_cutter.cc
+++ b/packages/relay/event_cutter.cc
@@ -9,7 +9,8 @@
 
 constexpr std::string_view kIdField = "id:";
 
-// Just behind the last empty line, which ends an event; 0 if there is none.
+// The position after the last empty line, which ends an event; 0 if there is
+// none.
 size_t EndOfEvents(std::string_view text) {
   size_t end = 0;
   for (const std::string_view mark : {"\n\n", "\r\n\r\n", "\r\r"}) {
--- a/packages/relay/event_cutter.h
+++ b/packages/relay/event_cutter.h
@@ -1,7 +1,13 @@
-// Cuts a stream of events at whole events, without reading what they say.
+// Splits a stream of server-sent events at event boundaries, without parsing
+// their data.
 //
-// An endpoint may stop in the middle of an event. A caller that was sent half
-// of one couldn't go on with the rest from another endpoint.
+// An endpoint may fail in the middle of an event. A stream that is resumed at
+// another endpoint continues with a complete event, so a caller must never
+// receive part of one.
+//
+//   EventCutter cutter;
+//   caller->Send(cutter.Feed(bytes));
+//   ... resume after cutter.LastId() ...
 
 #pragma once
 
@@ -12,25 +18,27 @@
 
 namespace hickorystand {
 
+// Buffers the incomplete event at the end of the stream, and records the id of
+// the last complete one.
 class EventCutter {
  public:
-  // Takes the next bytes and answers the whole events that are complete now,
-  // as they came; empty if none is.
+  // Adds bytes of the stream and returns the events that are complete now,
+  // unchanged; empty if there is none.
   std::string Feed(std::string_view bytes);
 
-  // What is left behind the last whole event.
+  // Removes and returns the bytes after the last complete event.
   std::string TakeRest();
 
-  // Forgets the begun event: a new run repeats it.
+  // Discards the incomplete event, since a new run repeats it.
   void DropRest() { this->rest.clear(); }
 
-  // The caller has all events up to this one.
+  // Sets the id of the last event that the caller received.
   void ResumeAfter(int64_t id) { this->last_id = id; }
 
-  // Whether bytes of an event that hasn't ended are held.
+  // Whether bytes of an incomplete event are buffered.
   bool HoldsRest() const { return !this->rest.empty(); }
 
-  // The id of the last whole event, if any bore one.
+  // The id of the last complete event that had one.
   std::optional<int64_t> LastId() const { return this->last_id; }
 
  private:
--- a/packages/relay/fleet_relay.cc
+++ b/packages/relay/fleet_relay.cc
@@ -11,17 +11,18 @@
 
 constexpr std::string_view kPart = "relay";
 
-// Lines about requests at once and a second. A host of today takes about 12
-// requests a second with three lines each; a flood of refusals beyond that
-// must not cost the time that serving needs.
+// Rate limit of log lines about requests. A host currently receives about 12
+// requests per second with three lines each; a burst of refusals beyond that
+// must not take CPU time from serving.
 constexpr int kLogBurst = 600;
 constexpr Duration kLogInterval = std::chrono::milliseconds(5);
 
-// Requests that ran while this many endpoints crashed are run no more.
+// Requests that were running at this many endpoint crashes are refused.
 constexpr int64_t kCondemnedAfter = 3;
 
-// What callers are told by this program. Each is counted from 0 on: the first
-// increase of a counter that appears later can't be seen.
+// Errors that this program answers to callers. Each counter is exported from 0
+// on, since the first increase of a counter that appears later is not visible
+// to monitoring.
 constexpr std::array kOwnErrors = {
     ErrorKind::kBadRequest,     ErrorKind::kBadKey,
     ErrorKind::kNotFound,       ErrorKind::kRateLimited,
@@ -29,8 +30,8 @@
     ErrorKind::kEndpointFailed, ErrorKind::kBrokenAnswer,
     ErrorKind::kTimeout,        ErrorKind::kPlatformDown};
 
-// Reading is averaged over no more than this, so that what a burst of two or
-// three seconds asks for shows in full.
+// Averaging time of the prefill rate. It is short so that a burst of two or
+// three seconds is visible at its full rate.
 constexpr Duration kReadingMemory = std::chrono::milliseconds(1500);
 
 }  // namespace
@@ -80,8 +81,8 @@
 }
 
 void FleetRelay::SetConfiguration(FleetConfigurationPtr changed) {
-  // A store that was cut off may tell an old version; going back would undo
-  // what callers have seen in force.
+  // A store that was partitioned may return an old version. Going back to it
+  // would revert changes that callers have seen in force.
   if (this->configuration && changed->version <= this->configuration->version) {
     return;
   }
@@ -120,8 +121,9 @@
   this->settings.key_proof_limit = proof_limit;
 }
 
-// The list shrinks when hosts leave, and also when their records lapse while
-// the store is away and they serve on. Then the rest must not take their parts.
+// The number never decreases. The list becomes shorter when hosts leave, but
+// also when their records expire during a store outage while they continue to
+// serve; the other hosts must not take over their shares then.
 void FleetRelay::SetHosts(int64_t listed) {
   if (listed <= this->hosts) {
     return;
@@ -131,8 +133,8 @@
   this->ShareServices();
 }
 
-// An endpoint resets what comes beyond its connections, and a request that was
-// reset may have run. So each host keeps to its part of them.
+// An endpoint resets connections beyond its maximum, and a request that was
+// reset may have run. So each host uses only its share of the maximum.
 void FleetRelay::ShareServices() {
   if (!this->configuration || this->hosts == 0) {
     return;
--- a/packages/relay/fleet_relay.h
+++ b/packages/relay/fleet_relay.h
@@ -1,16 +1,17 @@
-// The relay: takes callers' requests, decides where each runs, forwards it, and
-// passes the answer on. One relay serves a whole host, on one task.
+// The relay of a scheduler: receives callers' requests, chooses an endpoint for
+// each, sends it there, and forwards the answer. One relay serves a whole host,
+// on one task.
 //
 //   FleetRelay relay(settings, clock, codec, metrics);
-//   relay.SetConfiguration(configuration);      // whenever a newer one is read
-//   relay.SetEndpoints(endpoints);              // whenever they are listed
-//   relay.ProveFresh(asked_at);                 // whenever the store answered
+//   relay.SetConfiguration(configuration);  // after each newer version
+//   relay.SetEndpoints(endpoints);          // after each listing
+//   relay.ProveFresh(asked_at);             // after each answer of the store
 //   relay.Listen(address);
 //
 // Index
-//   RelaySettings   how it behaves
-//   RelayHooks      what it tells its owner
-//   FleetRelay           the relay
+//   RelaySettings   limits, timeouts and options of placement and retries
+//   RelayHooks      callbacks to the owner
+//   FleetRelay      the relay
 
 #pragma once
 
@@ -40,35 +41,38 @@
 
 namespace hickorystand {
 
-// How a relay behaves.
+// Limits, timeouts and options of a relay.
 struct RelaySettings {
   PlacementOptions placement;
   WindowBudgetOptions budget;
-  // How old the proof that the configuration is the newest may be when a key
-  // is used. Beyond it the key may have been revoked.
+  // The longest time since the configuration was confirmed to be the newest at
+  // which API keys are accepted. After it a key may have been revoked.
   Duration key_proof_limit = std::chrono::milliseconds(4200);
   // Share of an endpoint's connections that all hosts together use for
-  // requests; cache events and freed prompts need some as well.
+  // requests. Cache events and the release of prompt handles need the rest.
   double connections_used = 0.8;
-  // A first byte that takes longer than this many times the route's target and
-  // the expected time, and than the floor, is taken for a hung endpoint; what
-  // may run again then goes elsewhere.
+  // Stall timeout for the first byte: the largest of `stall_floor` and this
+  // factor times the route's target latency and times the expected time. An
+  // endpoint that exceeds it is considered hung, and a request that may run
+  // again is sent to another one.
   double stall_factor = 2.5;
   Duration stall_floor = std::chrono::milliseconds(1300);
-  // The longest wait for the first byte that callers of streams put up with.
+  // The longest wait for the first byte that callers of streams accept.
   Duration first_byte_patience = std::chrono::milliseconds(2000);
-  // A prompt this long is worth reading at one engine for another.
+  // Prompts of at least this length may be prefilled by a separate engine.
   int64_t split_from_tokens = 600;
 };
 
-// What a relay tells its owner.
+// Callbacks to the owner of a relay.
 struct RelayHooks {
-  // A request of an account began to run at an endpoint.
+  // A request of an account has begun to run at an endpoint.
   std::function<void(const AccountId&)> on_begun;
 };
 
 class RelayedRequest;
 
+// Serves requests as long as a configuration and endpoints are set. Requests
+// that can't be served are answered with an error.
 class FleetRelay {
  public:
   FleetRelay(RelaySettings settings,
@@ -80,60 +84,63 @@
   FleetRelay(const FleetRelay&) = delete;
   FleetRelay& operator=(const FleetRelay&) = delete;
 
-  // Accepts callers.
+  // Starts to accept callers at an address.
   Result<int> Listen(const SocketAddress& address);
 
-  // Serves a request, whoever read it.
+  // Serves a request of a caller that is connected here or to an ingress host.
   void Serve(const CallerExchangePtr& caller, const RequestOrigin& origin);
 
-  // Who decides whether a caller's request is served here; null: it always is.
+  // Handler of requests of callers that are connected here, which may forward
+  // them to a scheduler or call Serve. If null, all are served here.
   void SetForward(CallerHandler handler) { this->forward = std::move(handler); }
 
-  // Who holds requests to the limits of client accounts; null: nobody does.
+  // The gate that enforces the limits of client accounts; null: no limits.
   void SetLimitGate(LimitGate* gate) { this->limit_gate = gate; }
 
-  // Bounds on callers, while no configuration is known here.
+  // Size limits and timeouts for callers before the first configuration.
   void SetCallerLimits(const CallerLimits& limits) {
     this->server.SetLimits(limits);
   }
 
-  // A configuration; one that is older than the one in force is ignored.
+  // Puts a configuration in force, unless it is older than the current one.
   void SetConfiguration(FleetConfigurationPtr configuration);
 
-  // All endpoints there are.
+  // Replaces the list of endpoints.
   void SetEndpoints(const FleetEndpoints& endpoints);
 
-  // Which engines' cache events this host follows for all schedulers, and what
-  // others have heard.
+  // The cache events of engines that this host follows for all schedulers, and
+  // those that other hosts report.
   CacheFeed& Caches() { return this->cache_feed; }
 
-  // Follows engines anew, since other hosts may have come or gone.
+  // Reassigns the engines to follow, after a change of the list of hosts.
   void RefreshCaches() { this->cache_feed.SetEndpoints(this->endpoints); }
 
-  // How many hosts are listed, which share the retry budget and the endpoints'
-  // connections.
+  // Sets the number of listed hosts, which share the retry budget and the
+  // endpoints' connections.
   void SetHosts(int64_t listed);
 
-  // The configuration in force was the newest at that moment.
+  // Records that the configuration in force was the newest at that time.
   void ProveFresh(Instant at);
 
-  // Stops serving until the configuration has been proven and the endpoints
+  // Stops serving until the configuration has been confirmed and the endpoints
   // have been listed again.
   void RequireRefresh();
 
-  // Changes the retry budget and the age that proof may have. Placing keeps
-  // what it has learned, so its options take a start.
+  // Changes the retry budget and RelaySettings::key_proof_limit. The options of
+  // placement take effect only at a start of the process, since placement keeps
+  // its measurements.
   void SetLimits(const WindowBudgetOptions& retries, Duration proof_limit);
 
-  // Each answer is the last of its connection from now on. A request that can't
-  // be finished in time is refused as not run; what is unfinished when the
-  // schedule ends gets its final answer then.
+  // From now on each answer closes its connection. A request that can't be
+  // finished in time is refused as not run; one that is unfinished at the end
+  // of the schedule gets its final answer then.
   void StartDrain(const StopSchedule& schedule);
 
-  // Whether the kernel has taken all answers to callers connected here.
+  // Whether all answers to callers connected here have been passed to the
+  // kernel.
   bool AllSent() const { return this->server.AllSent(); }
 
-  // Takes no request any more: the process ends.
+  // Stops reading requests, at the end of the process.
   void StopReading() { this->server.StopReading(); }
 
   // Logs each request that is unfinished at the end of the process.
@@ -143,19 +150,20 @@
   // and both are newer than the last RequireRefresh.
   bool Ready() const;
 
-  // Whether a key may be used now, by the age of the proof.
+  // Whether API keys are accepted, by the time since the configuration was
+  // confirmed to be the newest.
   bool KeysProven() const;
 
   // Time since the configuration in force was last confirmed to be the newest;
   // nullopt if it never was.
   std::optional<Duration> ProofAge() const;
 
-  // Returns 0 before the first configuration.
+  // The version in force; 0 before the first configuration.
   int64_t ConfigurationVersion() const {
     return this->configuration ? this->configuration->version : 0;
   }
 
-  // Requests that wait for an answer, of callers here and at other hosts.
+  // Requests that wait for an answer, of callers here and at ingress hosts.
   size_t Waiting() const {
     return std::max(this->server.Waiting(), this->requests.size());
   }
@@ -164,7 +172,8 @@
   }
   const FleetEndpoints& Endpoints() const { return this->endpoints; }
 
-  // Prompt tokens a second that this host's requests ask engines to prefill.
+  // Prompt tokens per second that this host sends to engines for prefill, by
+  // service.
   std::map<ServiceId, double> PrefillPerSecond() const;
 
   FleetPlacement& Placement() { return this->placement; }
@@ -174,20 +183,20 @@
  private:
   friend class RelayedRequest;
 
-  // Whether a configuration is known and has been proven, and the endpoints
-  // have been listed, since the last RequireRefresh.
+  // Whether a configuration is in force and has been confirmed, and the
+  // endpoints have been listed, since the last RequireRefresh.
   bool Refreshed() const;
 
-  // Tells placing what each service allows to this host.
+  // Passes this host's limits for each service to placement.
   void ShareServices();
 
-  // A prompt of so many new tokens was sent to be read.
+  // Counts uncached prompt tokens that were sent for prefill.
   void NoteReading(const ServiceId& service, int64_t tokens);
 
-  // Time since the stop signal, for logs; empty if there was none.
+  // Milliseconds since the stop signal, for logs; empty before it.
   std::string StoppingText() const;
 
-  // Line of a decision that touches a request, bounded in number.
+  // Logs a decision about a request, with a rate limit on lines.
   void Log(LogLevel level,
            const RequestId& request,
            std::string_view sentence,
@@ -209,13 +218,13 @@
   LogLimiter log_limiter;
   FleetConfigurationPtr configuration;
   FleetEndpoints endpoints;
-  int64_t hosts = 0;  // the most ever listed; 0: not known yet
+  int64_t hosts = 0;  // the most ever listed; 0: not listed yet
   Instant proven{};
   Instant refresh_required_at{};    // of the last RequireRefresh
-  bool endpoints_refreshed = true;  // since then
+  bool endpoints_refreshed = true;  // listed since `refresh_required_at`
   std::optional<StopSchedule> stop;
-  AnswerTimes answer_times;  // since the arrivals of requests
-  AnswerTimes run_times;     // since the sends of their runs
+  AnswerTimes answer_times;  // from the request's arrival to the answer's end
+  AnswerTimes run_times;     // from the send of the run to the answer's end
   std::map<ServiceId, DecayingRate> read_tokens;
   std::set<std::shared_ptr<RelayedRequest>> requests;
 };
--- a/packages/relay/message_codec.h
+++ b/packages/relay/message_codec.h
@@ -1,12 +1,13 @@
-// What the relay reads from and writes into messages of callers and endpoints,
-// free of how it is spelled. A plug-in knows the spelling.
+// Interface between the relay and the wire format of callers and endpoints. The
+// structs hold the information that the relay reads and writes; a MessageCodec
+// plug-in translates it to and from headers and bodies.
 //
 // Index
-//   PromptPart, CallerRequest    what a caller asks for
-//   EndpointCall                 what the relay adds on the way to an endpoint
-//   EndpointAnswer               what an endpoint says beside its answer
-//   PromptHandle                 an engine's answer to a reading call
-//   CacheChange, CacheNews       what an engine keeps of prompts
+//   PromptPart, CallerRequest    metadata of a caller's request
+//   EndpointCall                 metadata that the relay adds for an endpoint
+//   EndpointAnswer               metadata of an endpoint's answer
+//   PromptHandle                 an engine's answer to a prefill call
+//   CacheChange, CacheEvents     changes of an engine's prefix cache
 //   MessageCodec                 the interface
 
 #pragma once
@@ -27,7 +28,7 @@
 
 namespace hickorystand {
 
-// A run of prompt tokens that other prompts may have too.
+// A sequence of prompt tokens that other prompts may share.
 struct PromptPart {
   std::string id;
   int64_t tokens = 0;
@@ -35,46 +36,46 @@
   auto operator<=>(const PromptPart&) const = default;
 };
 
-// What a caller's headers say.
+// Metadata from the headers of a caller's request.
 struct CallerRequest {
   RequestId id;
-  std::optional<Duration> patience;  // how long the caller will wait
+  std::optional<Duration> patience;  // the caller's timeout
   std::optional<std::string> key;
   std::string model;
   int64_t prompt_tokens = 0;
   int64_t output_tokens = 0;            // the most that may be generated
   std::vector<PromptPart> parts;        // of the prompt, in order
-  std::optional<int64_t> resume_after;  // the last event the caller has
+  std::optional<int64_t> resume_after;  // last event the caller received
 
   auto operator<=>(const CallerRequest&) const = default;
 };
 
-// What the relay tells an endpoint beside the caller's own message.
+// Metadata that the relay adds to the caller's message for an endpoint.
 struct EndpointCall {
-  EndpointId endpoint;  // any other process must refuse
-  std::optional<Duration> patience;
+  EndpointId endpoint;                  // any other process refuses the call
+  std::optional<Duration> patience;     // time left for the answer
   AccountId account;                    // empty: none
-  std::optional<int64_t> priority;      // 0 (first) to 9
-  std::optional<int64_t> resume_after;  // the last event that was passed on
-  bool read_prompt_only = false;        // no answer, only a handle
-  std::string fetch_from;  // ADDRESS/HANDLE of a prompt that was read
-  // An engine whose memory of the prompt's start is to be copied first.
+  std::optional<int64_t> priority;      // 0 (highest) to 9
+  std::optional<int64_t> resume_after;  // last event forwarded to the caller
+  bool read_prompt_only = false;        // prefill only; answered by a handle
+  std::string fetch_from;               // ADDRESS/HANDLE of a prefilled prompt
+  // An engine from which the cached start of the prompt is copied first.
   std::optional<SocketAddress> copy_from;
 
   bool operator==(const EndpointCall&) const = default;
 };
 
-// What an endpoint's headers say.
+// Metadata from the headers of an endpoint's answer.
 struct EndpointAnswer {
-  std::optional<RequestId> id;  // of the request that it answers
-  bool sealed = false;          // bears the proof that an endpoint wrote it
+  std::optional<RequestId> id;  // of the answered request
+  bool sealed = false;          // carries the proof that an endpoint wrote it
   bool not_run = false;         // the endpoint states that nothing ran
-  bool encoded = false;         // the body isn't the endpoint's plain one
+  bool encoded = false;         // the body has a content encoding
 
   bool operator==(const EndpointAnswer&) const = default;
 };
 
-// A prompt that an engine has read for another one.
+// A prompt that an engine has prefilled for another engine.
 struct PromptHandle {
   std::string handle;
   int64_t tokens = 0;
@@ -82,7 +83,8 @@
   auto operator<=>(const PromptHandle&) const = default;
 };
 
-// What an engine keeps of one part of a prompt now; no tokens: nothing.
+// The number of tokens of a prompt part that an engine now caches; 0 if the
+// part was evicted.
 struct CacheChange {
   std::string part;
   int64_t tokens = 0;
@@ -90,17 +92,18 @@
   auto operator<=>(const CacheChange&) const = default;
 };
 
-// The changes of an engine's cache since a number that it gave.
+// The changes of an engine's cache since a sequence number that it returned.
 struct CacheNews {
-  std::string epoch;  // changes when the engine starts again
-  int64_t next = 0;   // to ask from the next time
+  std::string epoch;  // changes when the engine restarts
+  int64_t next = 0;   // sequence number for the next call
   bool lost = false;  // older changes are missing
   std::vector<CacheChange> changes;
 
   bool operator==(const CacheNews&) const = default;
 };
 
-// Spells the messages of one kind of caller and endpoint.
+// Reads and writes the messages of one wire format. Functions that return a
+// Result fail on malformed input.
 class MessageCodec {
  public:
   static constexpr const char* kPluginKind = "message codec";
@@ -108,15 +111,15 @@
 
   virtual ~MessageCodec() = default;
 
-  // Reads a caller's headers; kBadRequest if they are wrong.
+  // Reads a caller's headers; kBadRequest if they are invalid.
   virtual Result<CallerRequest> ReadRequest(
       const HttpHeaders& headers) const = 0;
 
-  // The headers of a caller's message that may go to an endpoint: without
-  // those of one connection, the caller's key and what only the relay may say.
+  // The headers of a caller's message that may be sent to an endpoint: without
+  // hop-by-hop headers, the caller's key and headers that only the relay sets.
   virtual HttpHeaders PassOn(const HttpHeaders& headers) const = 0;
 
-  // Adds what the relay says.
+  // Adds the headers of `call`.
   virtual void WriteCall(const EndpointCall& call,
                          HttpHeaders& headers) const = 0;
 
@@ -128,18 +131,19 @@
   virtual Result<PromptHandle> ReadPromptHandle(
       std::string_view body) const = 0;
 
-  // A call that waits for changes of an engine's cache, up to the empty line,
-  // and its answer.
+  // Head of a long-poll request for the changes of an engine's cache, up to the
+  // empty line, and the reader of its answer.
   virtual std::string CacheNewsCall(const SocketAddress& engine,
                                     int64_t since,
                                     Duration wait) const = 0;
   virtual Result<CacheNews> ReadCacheNews(std::string_view body) const = 0;
 
-  // A call for all that an engine keeps, up to the empty line, and its answer.
+  // Head of a request for an engine's whole cache, up to the empty line, and
+  // the reader of its answer.
   virtual std::string CacheListCall(const SocketAddress& engine) const = 0;
   virtual Result<CacheNews> ReadCacheList(std::string_view body) const = 0;
 
-  // The target of the call that frees a handle.
+  // The target of the DELETE request that frees a prompt handle.
   virtual std::string DropHandleTarget(const std::string& handle) const = 0;
 };
 
--- a/packages/relay/part_hash.h
+++ b/packages/relay/part_hash.h
@@ -1,4 +1,4 @@
-// The number that stands for a prompt part's id in decisions.
+// Hash of a prompt part's id, which identifies the part in placement decisions.
 
 #pragma once
 
