--- a/packages/relay/fleet_relay.h
+++ b/packages/relay/fleet_relay.h
@@ -5,7 +5,7 @@
 //   FleetRelay relay(settings, clock, codec, metrics);
 //   relay.SetConfiguration(configuration);  // after each newer version
 //   relay.SetEndpoints(endpoints);          // after each listing
-//   relay.ProveFresh(asked_at);             // after each answer of the store
+//   relay.ConfirmConfiguration(asked_at);   // after each answer of the store
 //   relay.Listen(address);
 //
 // Index
@@ -51,9 +51,9 @@
   // Share of an endpoint's connections that all hosts together use for
   // requests. Cache events and the release of prompt handles need the rest.
   double connections_used = 0.8;
-  // Stall timeout for the first byte: the largest of `stall_floor` and this
-  // factor times the route's target latency and times the expected time. An
-  // endpoint that exceeds it is considered hung, and a request that may run
+  // Stall timeout for the first byte: the largest of `min_stall_timeout` and
+  // this factor times the route's target latency and times the expected time.
+  // An endpoint that exceeds it is considered hung, and a request that may run
   // again is sent to another one.
   double stall_factor = 2.5;
   Duration stall_floor = std::chrono::milliseconds(1300);
--- a/packages/relay/message_codec.h
+++ b/packages/relay/message_codec.h
@@ -7,7 +7,7 @@
 //   EndpointCall                 metadata that the relay adds for an endpoint
 //   EndpointAnswer               metadata of an endpoint's answer
 //   PromptHandle                 an engine's answer to a prefill call
-//   CacheChange, CacheEvents     changes of an engine's prefix cache
+//   CacheChange, CacheChanges    changes of an engine's prefix cache
 //   MessageCodec                 the interface
 
 #pragma once
--- a/packages/relay/request_forwarder.cc
+++ b/packages/relay/request_forwarder.cc
@@ -98,7 +98,8 @@
   }
   call->request = read->id;
   const Duration patience = read->patience.value_or(kDefaultPatience);
-  // Schedulers know how long answers take, so they decide until `takes_until`.
+  // Schedulers know how long answers take, so they decide as long as requests
+  // are accepted.
   if (this->stop && call->arrived >= this->stop->takes_until &&
       !this->stop->MayTake(call->arrived, {.limit = patience})) {
     this->GiveUp(*call, ErrorKind::kShuttingDown, kStopping);
