--- a/packages/relay/message_codec.h
+++ b/packages/relay/message_codec.h
@@ -83,8 +83,8 @@
   auto operator<=>(const PromptHandle&) const = default;
 };
 
-// The number of tokens of a prompt part that an engine now caches; 0 if the
-// part was evicted.
+// The number of tokens of a prompt part that an engine now caches; 0 if it
+// caches none.
 struct CacheChange {
   std::string part;
   int64_t tokens = 0;
