--- a/packages/relay/endpoint_pool.cc
+++ b/packages/relay/endpoint_pool.cc
@@ -220,28 +220,28 @@
 };
 
 void EndpointExchange::Cancel() {
-  const auto on = this->connection.lock();
-  if (std::exchange(this->over, true) || !on) {
+  const auto open = this->connection.lock();
+  if (std::exchange(this->over, true) || !open) {
     return;
   }
-  on->Drop();
+  open->Drop();
 }
 
 void EndpointExchange::Pause() {
-  if (const auto on = this->connection.lock(); on && !this->over) {
-    on->socket->Pause();
+  if (const auto open = this->connection.lock(); open && !this->over) {
+    open->socket->Pause();
   }
 }
 
 void EndpointExchange::Resume() {
-  if (const auto on = this->connection.lock(); on && !this->over) {
-    on->socket->Resume();
+  if (const auto open = this->connection.lock(); open && !this->over) {
+    open->socket->Resume();
   }
 }
 
 bool EndpointExchange::MayHaveSent() const {
-  const auto on = this->connection.lock();
-  return !on || on->sent_before || on->socket->AnySent();
+  const auto open = this->connection.lock();
+  return !open || open->sent_before || open->socket->AnySent();
 }
 
 EndpointPool::EndpointPool(const Clock& clock, EndpointPoolOptions options)
--- a/packages/relay/relayed_answer.cc
+++ b/packages/relay/relayed_answer.cc
@@ -23,47 +23,48 @@
 }  // namespace
 
 bool RelayedRequest::OnHead(const Http1Head& head) {
-  Attempt& at = *this->attempt;
-  at.answer = this->relay->codec->ReadAnswer(head.status, head.headers);
-  if (at.answer.id && *at.answer.id != this->request.id) {
+  Attempt& current = *this->attempt;
+  current.answer = this->relay->codec->ReadAnswer(head.status, head.headers);
+  if (current.answer.id && *current.answer.id != this->request.id) {
     this->relay->Log(LogLevel::kWarning, this->request.id,
                      "Dropped an answer to another request.",
-                     {{"endpoint", at.endpoint.run.id.Text()}});
+                     {{"endpoint", current.endpoint.run.id.Text()}});
     return false;
   }
-  at.foreign = !at.answer.id;
-  at.status = head.status;
-  at.headers = head.headers;
+  current.foreign = !current.answer.id;
+  current.status = head.status;
+  current.headers = head.headers;
   return true;
 }
 
 void RelayedRequest::OnBytes(std::string_view bytes) {
   const auto keep = this->shared_from_this();
-  Attempt& at = *this->attempt;
-  const bool good = at.status / 100 == 2 && at.answer.sealed &&
-                    !at.answer.encoded && !at.foreign && !at.reading;
+  Attempt& current = *this->attempt;
+  const bool good = current.status / 100 == 2 && current.answer.sealed &&
+                    !current.answer.encoded && !current.foreign &&
+                    !current.reading;
   if (good && IsStream(this->route->kind)) {
     this->PassOn(this->cutter.Feed(bytes));
     return;
   }
-  if (at.passing) {
+  if (current.passing) {
     this->caller->Send(bytes);
     return;
   }
-  at.body += bytes;
-  if (at.body.size() <= kHeldAnswer) {
+  current.body += bytes;
+  if (current.body.size() <= kHeldAnswer) {
     return;
   }
   if (!good) {
-    at.body.resize(kHeldAnswer);  // never forwarded, so it may be cut
+    current.body.resize(kHeldAnswer);  // never forwarded, so it may be cut
     return;
   }
-  at.passing = true;
+  current.passing = true;
   this->stall_timer.reset();
   this->NoteBegun();
   this->StartAnswer({});
-  this->caller->Send(at.body);
-  at.body.clear();
+  this->caller->Send(current.body);
+  current.body.clear();
 }
 
 void RelayedRequest::PassOn(std::string_view events) {
@@ -88,14 +89,14 @@
 }
 
 void RelayedRequest::NoteFirstByte() {
-  Attempt& at = *this->attempt;
-  if (at.first_byte_at) {
+  Attempt& current = *this->attempt;
+  if (current.first_byte_at) {
     return;
   }
   this->stall_timer.reset();
   const Instant now = this->relay->clock->Now();
-  at.first_byte_at = now;
-  this->relay->placement.OnPromptRead(now, at.work);
+  current.first_byte_at = now;
+  this->relay->placement.OnPromptRead(now, current.work);
   this->relay->metrics->Observe("first_byte_seconds",
                                 ToSeconds(now - this->arrived),
                                 {{"service", this->service.Text()}});
@@ -140,22 +141,23 @@
   }
   const Fate fate = this->JudgeEnd(end);
   const Instant now = this->relay->clock->Now();
-  Attempt& at = *this->attempt;
-  this->relay->placement.OnEnded(now, at.work);
-  this->NoteOutcome(at, fate == Fate::kDone);
+  Attempt& current = *this->attempt;
+  this->relay->placement.OnEnded(now, current.work);
+  this->NoteOutcome(current, fate == Fate::kDone);
   this->handle.clear();
   if (fate == Fate::kDone) {
     this->relay->suspects.OnAnswered(this->fingerprint);
-    if (at.status / 100 == 2) {
+    if (current.status / 100 == 2) {
       const AnswerKind kind = this->Kind();
       this->relay->answer_times.Add(now, kind, now - this->arrived);
-      this->relay->run_times.Add(now, kind, now - at.sent);
+      this->relay->run_times.Add(now, kind, now - current.sent);
     }
-    this->Over(std::to_string(at.status));
+    this->Over(std::to_string(current.status));
     return;
   }
   if (fate == Fate::kMayHaveRun && end == HttpEnd::kReset) {
-    this->relay->suspects.OnCrash(now, at.endpoint.zone, {this->fingerprint});
+    this->relay->suspects.OnCrash(now, current.endpoint.zone,
+                                  {this->fingerprint});
   }
   this->AfterFailure(fate, fate == Fate::kNotRun ? "not run at the endpoint"
                                                  : "broken at the endpoint");
@@ -173,13 +175,14 @@
 
 // Classifies a complete answer, and forwards it if it is valid.
 RelayedRequest::Fate RelayedRequest::JudgeWhole() {
-  Attempt& at = *this->attempt;
-  if (at.answer.not_run) {
+  Attempt& current = *this->attempt;
+  if (current.answer.not_run) {
     return Fate::kNotRun;
   }
-  const bool ours = at.answer.sealed && !at.answer.encoded && !at.foreign;
-  const bool promise = at.status == 429 || at.status == 503 ||
-                       at.status == 408 || at.status == 421;
+  const bool ours =
+      current.answer.sealed && !current.answer.encoded && !current.foreign;
+  const bool promise = current.status == 429 || current.status == 503 ||
+                       current.status == 408 || current.status == 421;
   // Without the seal the answer may be from something other than the endpoint.
   // A status that promises "not run" may be forwarded only if the endpoint
   // states that nothing ran.
@@ -187,7 +190,7 @@
     return Fate::kMayHaveRun;
   }
   if (this->StreamBegun()) {
-    if (at.status / 100 != 2) {
+    if (current.status / 100 != 2) {
       return Fate::kMayHaveRun;  // the stream's status is already sent
     }
     if (!this->caller->Started()) {
@@ -199,7 +202,7 @@
     this->caller->Finish();
     return Fate::kDone;
   }
-  if (at.status / 100 == 5 && MayRunAgain(this->route->kind) &&
+  if (current.status / 100 == 5 && MayRunAgain(this->route->kind) &&
       this->MaySendAgain()) {
     // AfterFailure sends the retry and must not charge the budget again.
     this->NoteBegun();
@@ -208,55 +211,55 @@
   }
   this->NoteBegun();
   const std::string rest = this->cutter.TakeRest();
-  const std::string& whole = rest.empty() ? at.body : rest;
+  const std::string& whole = rest.empty() ? current.body : rest;
   this->StartAnswer(whole.size());
   this->caller->Send(whole);
   this->caller->Finish();
   if (!this->shape.engine) {
-    this->relay->placement.OnPlainTime(this->service,
-                                       this->relay->clock->Now() - at.sent);
+    this->relay->placement.OnPlainTime(
+        this->service, this->relay->clock->Now() - current.sent);
   }
   return Fate::kDone;
 }
 
 // Reports an attempt's outcome to the placement.
-void RelayedRequest::NoteOutcome(const Attempt& at, bool good) {
+void RelayedRequest::NoteOutcome(const Attempt& ended, bool good) {
   const Instant now = this->relay->clock->Now();
-  if (at.status == kMisdirected) {
-    this->relay->placement.OnWrongRole(now, at.endpoint.run.id);
+  if (ended.status == kMisdirected) {
+    this->relay->placement.OnWrongRole(now, ended.endpoint.run.id);
   } else {
-    this->relay->placement.OnOutcome(now, at.endpoint.run.id, good);
+    this->relay->placement.OnOutcome(now, ended.endpoint.run.id, good);
   }
 }
 
 // Handles the end of a prefill call.
 void RelayedRequest::OnRead(HttpEnd end) {
   const Instant now = this->relay->clock->Now();
-  const Attempt at = std::move(*this->attempt);
+  const Attempt ended = std::move(*this->attempt);
   this->attempt.reset();
-  const bool whole = end == HttpEnd::kWhole && at.status == 200;
+  const bool whole = end == HttpEnd::kWhole && ended.status == 200;
   if (whole) {
-    this->relay->placement.OnPromptRead(now, at.work);
+    this->relay->placement.OnPromptRead(now, ended.work);
   }
-  this->relay->placement.OnEnded(now, at.work);
-  auto read = whole ? this->relay->codec->ReadPromptHandle(at.body)
+  this->relay->placement.OnEnded(now, ended.work);
+  auto read = whole ? this->relay->codec->ReadPromptHandle(ended.body)
                     : Result<PromptHandle>(Fail(ErrorKind::kEndpointFailed,
                                                 "the prompt was not read"));
-  this->prompt_accepted = this->prompt_accepted || !at.answer.not_run;
-  this->NoteOutcome(at, read.has_value());
+  this->prompt_accepted = this->prompt_accepted || !ended.answer.not_run;
+  this->NoteOutcome(ended, read.has_value());
   if (read) {
     this->handle = read->handle;
-    this->handle_at = at.endpoint.address;
-    this->OnPromptHandle(*read, at.endpoint.run.id);
+    this->handle_at = ended.endpoint.address;
+    this->OnPromptHandle(*read, ended.endpoint.run.id);
     return;
   }
   this->relay->Log(LogLevel::kInfo, this->request.id, "Prompt not read.",
-                   {{"endpoint", at.endpoint.run.id.Text()},
-                    {"status", std::to_string(at.status)},
+                   {{"endpoint", ended.endpoint.run.id.Text()},
+                    {"status", std::to_string(ended.status)},
                     {"why", read.error().message}});
   // The request itself has not run, whether or not the prompt was prefilled.
   // The failed call counts as an arrival; a successful one does not.
-  this->tried.insert(at.endpoint.run.id);
+  this->tried.insert(ended.endpoint.run.id);
   if (++this->arrivals > 1 || !this->WorthSending() ||
       !this->relay->budget.Take(now, this->service)) {
     this->AfterFailure(Fate::kNotRun, "the prompt was not read");
--- a/packages/relay/relayed_request.cc
+++ b/packages/relay/relayed_request.cc
@@ -115,20 +115,20 @@
                                                  this->request.output_tokens),
                     .priority = this->route->priority};
   }
-  const Duration patience =
+  const Duration timeout =
       std::min(this->request.patience.value_or(this->route->timeout),
                this->route->timeout);
-  this->deadline = this->arrived + patience;
+  this->deadline = this->arrived + timeout;
   const auto found = this->configuration->services.find(this->service);
   this->shape = {.service = this->service,
                  .engine = found != this->configuration->services.end() &&
                            found->second.engine.has_value(),
                  .prompt_tokens = this->request.prompt_tokens,
                  .target = this->route->target_latency,
-                 .patience = patience};
+                 .patience = timeout};
   if (IsStream(this->route->kind)) {
     this->shape.patience =
-        std::min(patience, this->relay->settings.first_byte_patience);
+        std::min(timeout, this->relay->settings.first_byte_patience);
   }
   for (const PromptPart& part : this->request.parts) {
     this->shape.parts.push_back(
--- a/packages/relay/relayed_request.h
+++ b/packages/relay/relayed_request.h
@@ -105,7 +105,7 @@
   void OnBytes(std::string_view bytes);
   void OnEnd(HttpEnd end);
   void OnRead(HttpEnd end);
-  void NoteOutcome(const Attempt& at, bool good);
+  void NoteOutcome(const Attempt& ended, bool good);
   void OnPromptHandle(const PromptHandle& handle, const EndpointId& reader);
   Fate JudgeEnd(HttpEnd end);
   Fate JudgeWhole();
--- a/packages/relay/request_forwarder.cc
+++ b/packages/relay/request_forwarder.cc
@@ -97,15 +97,15 @@
     return;
   }
   call->request = read->id;
-  const Duration patience = read->patience.value_or(kDefaultPatience);
+  const Duration timeout = read->patience.value_or(kDefaultPatience);
   // Schedulers know how long answers take, so they decide as long as requests
   // are accepted.
   if (this->stop && call->arrived >= this->stop->takes_until &&
-      !this->stop->MayTake(call->arrived, {.limit = patience})) {
+      !this->stop->MayTake(call->arrived, {.limit = timeout})) {
     this->GiveUp(*call, ErrorKind::kShuttingDown, kStopping);
     return;
   }
-  call->give_up_at = call->arrived + patience + kDeadlineMargin;
+  call->give_up_at = call->arrived + timeout + kDeadlineMargin;
   this->ArmDeadline(call);
   this->Forward(call);
 }
