--- a/packages/relay/relayed_answer.cc
+++ b/packages/relay/relayed_answer.cc
@@ -1,5 +1,5 @@
-// What endpoints answer to a request, and what that means for it. How it is
-// placed and sent, and how it ends, is in relayed_request.cc.
+// RelayedRequest's handling of endpoint answers. Placing, sending and the end
+// of a request are in relayed_request.cc.
 
 #include <utility>
 
@@ -8,60 +8,63 @@
 namespace hickorystand {
 namespace {
 
-// An answer up to this size is held until it is whole, so that one that turns
-// out broken can be asked for again. Longer ones are passed on as they come.
+// An answer up to this size is buffered until it is complete, so that the
+// request can be sent again if the answer breaks. Longer answers are forwarded
+// as they arrive.
 constexpr size_t kHeldAnswer = size_t{256} << 10;
 
-// Bytes that a slow caller may leave unread before its endpoint has to wait.
+// Flow control: with more bytes unread by a slow caller, reading from the
+// endpoint pauses.
 constexpr size_t kUnsentLimit = size_t{256} << 10;
 
-// An endpoint's answer to a call for another process or another role.
+// Status of an endpoint that was called as another process or in another role.
 constexpr int kMisdirected = 421;
 
 }  // namespace
 
 bool RelayedRequest::OnHead(const Http1Head& head) {
-  Attempt& at = *this->attempt;
-  at.answer = this->relay->codec->ReadAnswer(head.status, head.headers);
-  if (at.answer.id && *at.answer.id != this->request.id) {
+  Attempt& current = *this->attempt;
+  current.answer = this->relay->codec->ReadAnswer(head.status, head.headers);
+  if (current.answer.id && *current.answer.id != this->request.id) {
     this->relay->Log(LogLevel::kWarning, this->request.id,
                      "Dropped an answer to another request.",
-                     {{"endpoint", at.endpoint.run.id.Text()}});
+                     {{"endpoint", current.endpoint.run.id.Text()}});
     return false;
   }
-  at.foreign = !at.answer.id;
-  at.status = head.status;
-  at.headers = head.headers;
+  current.foreign = !current.answer.id;
+  current.status = head.status;
+  current.headers = head.headers;
   return true;
 }
 
 void RelayedRequest::OnBytes(std::string_view bytes) {
   const auto keep = this->shared_from_this();
-  Attempt& at = *this->attempt;
-  const bool good = at.status / 100 == 2 && at.answer.sealed &&
-                    !at.answer.encoded && !at.foreign && !at.reading;
+  Attempt& current = *this->attempt;
+  const bool good = current.status / 100 == 2 && current.answer.sealed &&
+                    !current.answer.encoded && !current.foreign &&
+                    !current.reading;
   if (good && IsStream(this->route->kind)) {
     this->PassOn(this->cutter.Feed(bytes));
     return;
   }
-  if (at.passing) {
+  if (current.passing) {
     this->caller->Send(bytes);
     return;
   }
-  at.body += bytes;
-  if (at.body.size() <= kHeldAnswer) {
+  current.body += bytes;
+  if (current.body.size() <= kHeldAnswer) {
     return;
   }
   if (!good) {
-    at.body.resize(kHeldAnswer);  // is not passed on as it is anyway
+    current.body.resize(kHeldAnswer);  // never forwarded, so it may be cut
     return;
   }
-  at.passing = true;
+  current.passing = true;
   this->stall_timer.reset();
   this->NoteBegun();
   this->StartAnswer({});
-  this->caller->Send(at.body);
-  at.body.clear();
+  this->caller->Send(current.body);
+  current.body.clear();
 }
 
 void RelayedRequest::PassOn(std::string_view events) {
@@ -86,20 +89,21 @@
 }
 
 void RelayedRequest::NoteFirstByte() {
-  Attempt& at = *this->attempt;
-  if (at.first_byte_at) {
+  Attempt& current = *this->attempt;
+  if (current.first_byte_at) {
     return;
   }
   this->stall_timer.reset();
   const Instant now = this->relay->clock->Now();
-  at.first_byte_at = now;
-  this->relay->placement.OnPromptRead(now, at.work);
+  current.first_byte_at = now;
+  this->relay->placement.OnPromptRead(now, current.work);
   this->relay->metrics->Observe("first_byte_seconds",
                                 ToSeconds(now - this->arrived),
                                 {{"service", this->service.Text()}});
 }
 
-// Keeps what a caller of a stream notices: its start and its longest pause.
+// Records the latency that a caller of a stream sees: its first event and its
+// longest pause between events.
 void RelayedRequest::NoteEvent() {
   const Instant now = this->relay->clock->Now();
   if (this->first_event) {
@@ -137,22 +141,23 @@
   }
   const Fate fate = this->JudgeEnd(end);
   const Instant now = this->relay->clock->Now();
-  Attempt& at = *this->attempt;
-  this->relay->placement.OnEnded(now, at.work);
-  this->NoteOutcome(at, fate == Fate::kDone);
+  Attempt& current = *this->attempt;
+  this->relay->placement.OnEnded(now, current.work);
+  this->NoteOutcome(current, fate == Fate::kDone);
   this->handle.clear();
   if (fate == Fate::kDone) {
     this->relay->suspects.OnAnswered(this->fingerprint);
-    if (at.status / 100 == 2) {
+    if (current.status / 100 == 2) {
       const AnswerKind kind = this->Kind();
       this->relay->answer_times.Add(now, kind, now - this->arrived);
-      this->relay->run_times.Add(now, kind, now - at.sent);
+      this->relay->run_times.Add(now, kind, now - current.sent);
     }
-    this->Over(std::to_string(at.status));
+    this->Over(std::to_string(current.status));
     return;
   }
   if (fate == Fate::kMayHaveRun && end == HttpEnd::kReset) {
-    this->relay->suspects.OnCrash(now, at.endpoint.zone, {this->fingerprint});
+    this->relay->suspects.OnCrash(now, current.endpoint.zone,
+                                  {this->fingerprint});
   }
   this->AfterFailure(fate, fate == Fate::kNotRun ? "not run at the endpoint"
                                                  : "broken at the endpoint");
@@ -168,23 +173,25 @@
   return this->JudgeWhole();
 }
 
-// Judges an answer that ended in order, and passes it on if it is one.
+// Classifies a complete answer, and forwards it if it is valid.
 RelayedRequest::Fate RelayedRequest::JudgeWhole() {
-  Attempt& at = *this->attempt;
-  if (at.answer.not_run) {
+  Attempt& current = *this->attempt;
+  if (current.answer.not_run) {
     return Fate::kNotRun;
   }
-  const bool ours = at.answer.sealed && !at.answer.encoded && !at.foreign;
-  const bool promise = at.status == 429 || at.status == 503 ||
-                       at.status == 408 || at.status == 421;
-  // Without the proof that the endpoint wrote it, nothing of it is an answer;
-  // and a status that promises "not run" may only be passed on when it is so.
+  const bool ours =
+      current.answer.sealed && !current.answer.encoded && !current.foreign;
+  const bool promise = current.status == 429 || current.status == 503 ||
+                       current.status == 408 || current.status == 421;
+  // Without the seal the answer may be from something other than the endpoint.
+  // A status that promises "not run" may be forwarded only if the endpoint
+  // states that nothing ran.
   if (!ours || promise) {
     return Fate::kMayHaveRun;
   }
   if (this->StreamBegun()) {
-    if (at.status / 100 != 2) {
-      return Fate::kMayHaveRun;  // of a resumed run; can't be told any more
+    if (current.status / 100 != 2) {
+      return Fate::kMayHaveRun;  // the stream's status is already sent
     }
     if (!this->caller->Started()) {
       this->StartAnswer({});
@@ -195,72 +202,73 @@
     this->caller->Finish();
     return Fate::kDone;
   }
-  if (at.status / 100 == 5 && MayRunAgain(this->route->kind) &&
+  if (current.status / 100 == 5 && MayRunAgain(this->route->kind) &&
       this->MaySendAgain()) {
-    // Goes on in AfterFailure, which must not charge the budget again.
+    // AfterFailure sends the retry and must not charge the budget again.
     this->NoteBegun();
     this->retry_charged = true;
     return Fate::kMayHaveRun;
   }
   this->NoteBegun();
   const std::string rest = this->cutter.TakeRest();
-  const std::string& whole = rest.empty() ? at.body : rest;
+  const std::string& whole = rest.empty() ? current.body : rest;
   this->StartAnswer(whole.size());
   this->caller->Send(whole);
   this->caller->Finish();
   if (!this->shape.engine) {
-    this->relay->placement.OnPlainTime(this->service,
-                                       this->relay->clock->Now() - at.sent);
+    this->relay->placement.OnPlainTime(
+        this->service, this->relay->clock->Now() - current.sent);
   }
   return Fate::kDone;
 }
 
-// Remembers what became of an attempt, for later placing.
-void RelayedRequest::NoteOutcome(const Attempt& at, bool good) {
+// Reports an attempt's outcome to the placement.
+void RelayedRequest::NoteOutcome(const Attempt& ended, bool good) {
   const Instant now = this->relay->clock->Now();
-  if (at.status == kMisdirected) {
-    this->relay->placement.OnWrongRole(now, at.endpoint.run.id);
+  if (ended.status == kMisdirected) {
+    this->relay->placement.OnWrongRole(now, ended.endpoint.run.id);
   } else {
-    this->relay->placement.OnOutcome(now, at.endpoint.run.id, good);
+    this->relay->placement.OnOutcome(now, ended.endpoint.run.id, good);
   }
 }
 
-// A reading call has ended.
+// Handles the end of a prefill call.
 void RelayedRequest::OnRead(HttpEnd end) {
   const Instant now = this->relay->clock->Now();
-  const Attempt at = std::move(*this->attempt);
+  const Attempt ended = std::move(*this->attempt);
   this->attempt.reset();
-  const bool whole = end == HttpEnd::kWhole && at.status == 200;
+  const bool whole = end == HttpEnd::kWhole && ended.status == 200;
   if (whole) {
-    this->relay->placement.OnPromptRead(now, at.work);
+    this->relay->placement.OnPromptRead(now, ended.work);
   }
-  this->relay->placement.OnEnded(now, at.work);
-  auto read = whole ? this->relay->codec->ReadPromptHandle(at.body)
+  this->relay->placement.OnEnded(now, ended.work);
+  auto read = whole ? this->relay->codec->ReadPromptHandle(ended.body)
                     : Result<PromptHandle>(Fail(ErrorKind::kEndpointFailed,
                                                 "the prompt was not read"));
-  this->prompt_accepted = this->prompt_accepted || !at.answer.not_run;
-  this->NoteOutcome(at, read.has_value());
+  this->prompt_accepted = this->prompt_accepted || !ended.answer.not_run;
+  this->NoteOutcome(ended, read.has_value());
   if (read) {
     this->handle = read->handle;
-    this->handle_at = at.endpoint.address;
-    this->OnPromptHandle(*read, at.endpoint.run.id);
+    this->handle_at = ended.endpoint.address;
+    this->OnPromptHandle(*read, ended.endpoint.run.id);
     return;
   }
   this->relay->Log(LogLevel::kInfo, this->request.id, "Prompt not read.",
-                   {{"endpoint", at.endpoint.run.id.Text()},
-                    {"status", std::to_string(at.status)},
+                   {{"endpoint", ended.endpoint.run.id.Text()},
+                    {"status", std::to_string(ended.status)},
                     {"why", read.error().message}});
-  // Nothing of the request has run, whatever became of the prompt. The call
-  // counts as one arrival more, since an accepted one would have been free.
-  this->tried.insert(at.endpoint.run.id);
+  // The request itself has not run, whether or not the prompt was prefilled.
+  // The failed call counts as an arrival; a successful one does not.
+  this->tried.insert(ended.endpoint.run.id);
   if (++this->arrivals > 1 || !this->WorthSending() ||
       !this->relay->budget.Take(now, this->service)) {
     this->AfterFailure(Fate::kNotRun, "the prompt was not read");
     return;
   }
-  // Placed anew, and refused if it has become hopeless. Read at a generating
-  // engine instead, whatever waits there, it held up that engine's streams: on
-  // 32 played days 0.845 of the payoff was earned that way, and 0.876 this way.
+  // Placed again, and refused if it can't be answered in time any more. A
+  // prefill on a decode engine regardless of its queue delays that engine's
+  // streams: over 32 simulated days that earned 0.845 of the payoff, and
+  // placing again earned 0.876.
   this->Place();
 }
 
