--- a/packages/relay/fleet_duties.cc
+++ b/packages/relay/fleet_duties.cc
@@ -14,32 +14,35 @@
 
 constexpr Duration kTick = std::chrono::milliseconds(100);
 
-// The lease ends this much earlier for its holder than in the store.
+// The holder stops acting this long before the lease expires in the store.
 constexpr Duration kLeaseMargin = std::chrono::milliseconds(600);
 
-// Counts come from other hosts every half second; a window is closed when all
-// have told of it, but not sooner than this after its end.
+// Minimum time between the end of a window and closing it. Other hosts send
+// their counts every half second, and the window is closed once all hosts have
+// sent theirs.
 constexpr Duration kSettle = std::chrono::milliseconds(700);
 
-// After a report that was not accepted: each call is billed and the platform
-// takes 50 a second from all hosts, while a report is due in 10 s.
+// Delay after a report that was not accepted. Each call is billed and the
+// platform accepts 50 calls a second from all hosts together, while a report is
+// due within 10 s.
 constexpr Duration kReportRetry = std::chrono::milliseconds(700);
 
-// A host that has just become a scheduler is still being told what others
-// counted; it reports without their counts only this long before a report is
-// due.
+// Replaces `report_reserve` on a host that has just become a scheduler. It is
+// still receiving the counts of other hosts, so it waits for them until this
+// long before a report is due.
 constexpr Duration kNewHostReserve = std::chrono::milliseconds(1000);
 
-// How long a host that stops waits for the answers to its calls.
+// How long a stopping host waits for the answers to its calls.
 constexpr Duration kReleasePatience = std::chrono::milliseconds(1200);
 
-// A change of what is believed of true time that is worth a line, milliseconds.
+// Smallest correction of the fleet time that is logged, in milliseconds.
 constexpr int64_t kTimeChangeLogged = 50;
 
-// Windows whose record is kept; older ones are removed with each new one.
+// Number of usage windows whose records are kept in the store. Each new record
+// deletes the oldest one.
 constexpr int64_t kKeptRecords = 12;
 
-// One group of hosts shares the duties.
+// All hosts of the fleet compete for the same lease.
 const DataCentreId& Group() {
   static const DataCentreId kGroup("fleet");
   return kGroup;
@@ -89,7 +92,7 @@
                          ToMilliseconds(this->clock->Now().time_since_epoch()));
   const int64_t change = this->UnixMilliseconds() - before;
   if (std::abs(change) >= kTimeChangeLogged) {
-    LogInfo(kPart, "True time is another one than was believed.",
+    LogInfo(kPart, "Fleet time corrected.",
             {{"change_ms", std::to_string(change)},
              {"told_by", host.Text()},
              {"told_ms", std::to_string(unix_ms - before)}});
@@ -169,7 +172,7 @@
     this->lease.Retire(actions);
   }
   this->release_by.reset();
-  // Resets connections, so before the release record is sent.
+  // Resets connections, so it must precede sending the release record.
   this->NoteHolding(now);
   this->Run(actions);
 }
@@ -186,8 +189,8 @@
   }
   LogInfo(kPart, "Let go of the duties.",
           {{"fencing", std::to_string(this->lease.Fencing())}});
-  // What was sent and not answered could still arrive after the next holder
-  // has begun.
+  // An unanswered call could otherwise still arrive after the next holder has
+  // started to act.
   this->platform->CancelAll();
   this->tenure.OnCallsCancelled(now);
   this->under_way.clear();
@@ -223,7 +226,7 @@
            {"earlier_holder", released ? released->host.Text() : ""}});
 }
 
-// Notes when a call to the platform has ended.
+// Wraps `done` so that the tenure records the start and end of the call.
 PlatformDuties::Done FleetDuties::TrackCall(PlatformDuties::Done done) {
   return [this, call = this->tenure.OnCallStarted(this->clock->Now()),
           done = std::move(done)](DutyOutcome outcome) {
@@ -283,8 +286,8 @@
                       : this->options.report_reserve;
 }
 
-// Reports each window that is over and whose counts are all there, or that
-// can't wait for them any longer.
+// Closes each finished window for which all hosts have sent their counts, or
+// whose report is due soon.
 void FleetDuties::ReportDue() {
   if (this->clock->Now() < this->next_report) {
     return;
@@ -313,8 +316,9 @@
   }
 }
 
-// Fixes a window's figures before they are reported: two reports of one window
-// must not differ, whoever makes the second one.
+// Stores a window's counts before they are reported. A repeated report of the
+// window, possibly by another holder, must not differ from the first, so it
+// uses the stored counts.
 void FleetDuties::WriteWindow(int64_t window) {
   this->under_way.insert(window);
   const WindowCounts counts = this->usage.Total(window);
@@ -337,7 +341,7 @@
         if (found) {
           this->ReportWindow(window, *found);
         } else {
-          this->under_way.erase(window);  // the next tick tries again
+          this->under_way.erase(window);  // retried on the next tick
         }
       });
 }
--- a/packages/relay/fleet_duties.h
+++ b/packages/relay/fleet_duties.h
@@ -1,20 +1,28 @@
-// What one host at a time does for the whole fleet: reports what client
-// accounts used, gives engines their roles, and orders endpoints.
+// Fleet-wide duties, performed by one host at a time: reporting the usage of
+// client accounts, assigning roles to engines, and ordering endpoints.
 //
-// Which host: the one that holds a lease in the platform's store. It checks
-// the lease in the step that hands bytes to a socket; when its time is over by
-// its own clock, before the store would let anybody else in, it resets the
-// connections of calls that weren't answered. A new holder waits for the length
-// of a lease before it acts. So nothing of an old holder arrives after the
-// first call of its successor, and no two hosts act by turns within a lease's
-// length, though nobody on the other side checks the fencing number.
+// Index
+//   FleetDutiesOptions   timings and limits
+//   FleetDutiesInputs    callbacks into the rest of the host
+//   FleetDuties          lease, usage reports, engine and role orders
 //
-// A host that stops in order reports the windows that are ready, waits until
-// its calls are answered, stops acting, and only then replaces its lease record
-// by a release record (decisions/lease.h) with the wait that is left
-// (decisions/duty_tenure.h). The next holder waits that long instead. Orders of
-// engines and roles wait for a lease's length in any case, because those of the
-// earlier holder must show in the list first.
+// The duties belong to the host that holds a lease in the platform's store.
+// The platform does not check the fencing number, so exclusion rests on time:
+//  - The holder checks the lease in the step that hands bytes to a socket.
+//  - When the lease ends by the holder's own clock, which is before the store
+//    grants it to another host, the holder resets the connections of its
+//    unanswered calls.
+//  - A new holder waits for one lease length before it acts.
+// Hence no call of an old holder arrives after the first call of its successor,
+// and no two hosts act alternately within one lease length.
+//
+// On an orderly stop the holder reports the windows that are ready, waits for
+// the answers to its calls, stops acting, and only then replaces its lease
+// record with a release record (decisions/lease.h). That record holds the
+// remaining wait (decisions/duty_tenure.h), which the next holder observes
+// instead of a full lease length. Orders of engines and roles always wait for
+// at least a lease length, because the orders of the previous holder must first
+// become visible in the endpoint list.
 
 #pragma once
 
@@ -36,54 +44,57 @@
 
 namespace hickorystand {
 
-// How duties are done.
+// Timings and limits of the duties.
 struct FleetDutiesOptions {
   HostId host;
   uint64_t incarnation = 0;
-  // Nobody can have had the duties before, so there is nobody to wait for
-  // within the first lease after the start.
+  // The fleet starts for the first time: there is no previous holder, so a
+  // lease taken within one lease length of the start needs no wait.
   bool first_start = false;
   Duration lease = std::chrono::seconds(3);
   Duration window = std::chrono::seconds(5);
   Duration report_due = std::chrono::seconds(10);  // after a window's end
-  // The counts of all hosts are waited for until this long before that.
+  // A window is reported this long before it is due, even if the counts of
+  // some hosts are missing.
   Duration report_reserve = std::chrono::milliseconds(3500);
-  // The most engines of a service that change their role at a time, as a share
-  // of all: a change takes an engine out for seconds.
+  // Maximum share of a service's engines that change their role at a time. An
+  // engine is unavailable for seconds during a change.
   double roles_under_way = 0.25;
-  // While no streams run, nobody misses engines that change their role.
+  // The same while no streams run, when unavailable engines delay no requests.
   double roles_under_way_idle = 0.6;
-  // Between two looks at how many engines there should be.
+  // Interval between two calculations of the engines needed.
   Duration scale_period = std::chrono::milliseconds(800);
-  // Engines are counted only after their number has been the same for this
-  // long. A fleet that has just started, or a store that has just come back,
-  // lists its engines one by one; an order by half a list would send away the
-  // other half.
+  // Engines are counted only after their number has been constant for this
+  // long. After the start of the fleet or a recovery of the store, engines
+  // appear in the list one by one; an order based on half of the list would
+  // remove the other half.
   Duration count_settles = std::chrono::milliseconds(1700);
-  // At the fleet's first start nobody can have ordered a spot engine, so the
-  // first ones are ordered when endpoints have been listed for this long, of
-  // however many: they take seconds to start, and callers come soon.
+  // At the first start of the fleet no spot engine has been ordered yet. The
+  // first ones are ordered once any endpoint has been listed for this long,
+  // because they take seconds to start and requests arrive soon.
   Duration first_order = std::chrono::milliseconds(900);
-  // An order is repeated if its engines aren't there after this: they take
-  // four seconds to start and a heartbeat to show.
+  // An order is repeated if its engines are not listed after this time. An
+  // engine takes four seconds to start and one heartbeat to be listed.
   Duration scale_shows = std::chrono::milliseconds(7000);
-  // A zone without spot engines is asked again after this.
+  // Delay before a zone that had no spot engines available is tried again.
   Duration spot_retry = std::chrono::milliseconds(4000);
 };
 
-// What duties need to know of the rest of the host.
+// Callbacks through which the duties read the state of the host.
 struct FleetDutiesInputs {
   std::function<FleetConfigurationPtr()> configuration;
   std::function<const FleetEndpoints&()> endpoints;
   std::function<std::vector<HostId>()> other_hosts;
-  std::function<size_t()> rank;  // of this host among all, by id
-  // Requests of the whole fleet that run at an engine.
+  std::function<size_t()> rank;  // of this host among schedulers, by id
+  // Requests of the whole fleet that are running at an engine.
   std::function<int64_t(const EndpointId&)> running;
-  // Engines of a service that the whole fleet's prompts would keep reading all
-  // the time.
+  // Prefill load of the whole fleet for a service, in fully busy engines.
   std::function<double(const ServiceId&)> reading;
 };
 
+// Competes for the lease and performs the duties while it is held. Runs on a
+// timer after Start(). Calls that fail are logged and retried on a later tick;
+// nothing is reported to the caller.
 class FleetDuties {
  public:
   FleetDuties(FleetDutiesOptions options,
@@ -95,36 +106,37 @@
 
   void Start();
 
-  // Releases the lease, once what is under way has ended, and never takes it
-  // again.
+  // Releases the lease once the calls under way have ended, or after a timeout,
+  // and does not acquire it again.
   void Retire();
 
-  // Whether this host holds the lease. It may still have to wait before it
-  // acts.
+  // Whether this host holds the lease. The wait after acquiring it may still be
+  // running.
   bool Holding() const { return this->holding; }
 
-  // Engines whose role is being changed by this host: they refuse new work
-  // until they are done.
+  // Engines whose role this host is changing. They refuse new work until the
+  // change is complete.
   std::vector<EndpointId> ChangingRole() const;
 
   UsageWindows& Usage() { return this->usage; }
 
-  // True time, in Unix milliseconds. The time of day may be set by seconds,
-  // back and forth; windows would then be counted wrongly.
+  // Current time in Unix milliseconds, corrected by the times of other hosts.
+  // The system clock may be stepped by seconds in either direction, which would
+  // assign requests to wrong usage windows.
   int64_t UnixMilliseconds() const;
 
-  // Another host has just said which time it has.
+  // Records the current time of another host.
   void OnPeerTime(const HostId& host, int64_t unix_ms);
 
  private:
   struct RoleOrder {
     EndpointRun run;
     EndpointRole role = EndpointRole::kPrefill;
-    Instant until{};  // then its outcome shows in the list, or never will
+    Instant until{};  // when the order is dropped if it had no effect
     bool refused = false;
   };
 
-  // One kind of engine of one service in one zone.
+  // Spot or on-demand engines of one service in one zone.
   struct ScaleKey {
     ServiceId service;
     ZoneId zone;
@@ -136,7 +148,7 @@
     int64_t count = -1;
     Instant since{};
     Instant first_seen{};
-    bool settled = false;  // once in this tenure
+    bool settled = false;  // stays true for the rest of the tenure
   };
   struct ScaleOrder {
     int64_t count = 0;
@@ -144,8 +156,8 @@
     bool under_way = false;
   };
 
-  // Engines that a service shall have, those that its load needs, and that
-  // load: engines that would keep reading all the time.
+  // Target number of engines of a service, the number that its current load
+  // requires, and its prefill load in fully busy engines.
   struct EngineNeed {
     int64_t wanted = 0;
     int64_t needed = 0;
@@ -214,23 +226,24 @@
   DutyTenure tenure;
   Instant orders_from{};
   bool first_tenure = false;  // of the fleet's first start
-  // Set while this host is about to release the lease: then it does so even if
-  // calls are under way.
+  // Set by Retire(): the time at which the lease is released even if calls are
+  // under way.
   std::optional<Instant> release_by;
   std::set<int64_t> reported;
   std::set<int64_t> under_way;  // windows being written or reported
-  Instant next_report{};        // after one that wasn't accepted
+  Instant next_report{};        // earliest retry after a failed report
   std::map<EndpointId, RoleOrder> role_orders;
   std::map<ScaleKey, ScaleOrder> scale_orders;
-  // Zones that had no spot engine to give, and when they are asked again.
+  // Zones that had no spot engines available, and when they are tried again.
   std::map<ScaleKey, Instant> spot_unavailable_until;
   std::map<ServiceId, LiveCount> live_counts;
-  // The most reading lately, remembered for long and for a short while.
+  // Peak prefill load with slow and with fast decay.
   std::map<ServiceId, double> reading_peak;
   std::map<ServiceId, double> reading_now;
   std::map<ServiceId, double> streams_peak;
-  std::map<ServiceId, int64_t> first_live;  // engines when the duty began
-  std::map<ServiceId, int64_t> planned;     // engines wanted now
+  std::map<ServiceId, int64_t>
+      first_live;                        // engines at the start of the tenure
+  std::map<ServiceId, int64_t> planned;  // target number of engines
   Instant next_scale{};
   std::unique_ptr<Timer> timer;
 };
--- a/packages/relay/fleet_duties_engines.cc
+++ b/packages/relay/fleet_duties_engines.cc
@@ -1,5 +1,5 @@
-// Which role each engine has and how many there are: the part of the duties
-// that orders them. The lease and the usage reports are in fleet_duties.cc.
+// The part of FleetDuties that orders engine roles and engine counts. The lease
+// and the usage reports are in fleet_duties.cc.
 
 #include <algorithm>
 #include <cmath>
@@ -13,28 +13,29 @@
 
 constexpr std::string_view kPart = "duties";
 
-// Fewer streams at a time than this are none.
+// A service with fewer concurrent streams than this counts as idle.
 constexpr double kIdleStreams = 0.5;
 
-// How much of the highest reading load is still planned for after each look:
-// the next burst comes within half a minute.
+// Decay of the peak prefill load with each calculation, every 0.8 s. It is slow
+// because the next burst comes within half a minute.
 constexpr double kPeakKept = 0.985;
 
-// The same for the load that on-demand engines are kept or ordered for: they
-// are dear, and a burst that is over needs none.
+// The same for the load that on-demand engines are ordered for. It is fast
+// because they are expensive and not needed once a burst is over.
 constexpr double kNowKept = 0.9;
 
-// How much of the most streams at a time is still planned for after each tick.
+// Decay of the peak number of concurrent streams with each tick.
 constexpr double kStreamsKept = 0.997;
 
-// How long an order's effect may take to show: the change itself, a heartbeat
-// and a reading of the list. Longer than that it counts as lost.
+// Time after which a role order that has no visible effect counts as lost. It
+// covers the role change, a heartbeat and a read of the endpoint list.
 constexpr Duration kRoleShows = std::chrono::milliseconds(6500);
 
-// How long an engine that took the order may take, with long streams to end.
+// The same for an order that the engine accepted: it first completes its
+// running streams, which may be long.
 constexpr Duration kRoleTaken = std::chrono::seconds(20);
 
-// Until an engine that refused a role is asked again.
+// Delay before an engine that refused a role is ordered again.
 constexpr Duration kRoleRetry = std::chrono::seconds(2);
 
 }  // namespace
@@ -50,7 +51,7 @@
     return found == expected.end() || found->second.run != entry.second.run ||
            found->second.role == entry.second.role || now >= entry.second.until;
   });
-  // What was ordered counts as done already, or it would be ordered twice.
+  // Pending orders count as carried out, to avoid ordering them twice.
   for (const auto& [id, order] : this->role_orders) {
     expected.at(id).role = order.role;
   }
@@ -61,7 +62,7 @@
   }
 }
 
-// The most streams that lately ran at a time.
+// Returns the recent peak of concurrent streams.
 double FleetDuties::StreamsOf(const ServiceId& service,
                               const FleetEndpoints& expected) {
   double running = 0;
@@ -76,7 +77,7 @@
   return peak;
 }
 
-// Orders changes of a service until enough are under way.
+// Orders role changes until the maximum number is under way or none is needed.
 void FleetDuties::PlanRolesOf(const ServiceId& service,
                               FleetEndpoints& expected) {
   const RoleLoad load{.streams = this->StreamsOf(service, expected),
@@ -101,8 +102,8 @@
   }
 }
 
-// An engine that can't be reached or is busy isn't asked again at once; another
-// one may take the role.
+// An engine that is unreachable or busy is not ordered again until the retry
+// delay has passed. Meanwhile another engine may get the role.
 void FleetDuties::NoteRefusedRole(const EndpointId& endpoint) {
   const auto order = this->role_orders.find(endpoint);
   if (order != this->role_orders.end()) {
@@ -111,9 +112,9 @@
   }
 }
 
-// The engine changes once all that runs there is over, and refuses what is new
-// until then. Taken for lost after the usual time, the order would draw
-// requests there again, which the engine refuses.
+// The engine changes its role when its running requests have ended, and refuses
+// new ones until then. If the order counted as lost after the usual time,
+// requests would be sent to the engine again, and refused.
 void FleetDuties::NoteAcceptedRole(const EndpointId& endpoint) {
   const auto order = this->role_orders.find(endpoint);
   if (order != this->role_orders.end()) {
@@ -189,7 +190,8 @@
   });
 }
 
-// Before there was any load, what stood there when the duty began decides.
+// Until load has been measured, the number of engines at the start of the
+// tenure determines the target.
 FleetDuties::EngineNeed FleetDuties::NeededEngines(const ServiceId& service,
                                                    const ScaleBounds& bounds,
                                                    int64_t live) {
@@ -208,8 +210,8 @@
   if (wanted > planned || wanted < planned - scaling.tolerated_less) {
     planned = wanted;
   }
-  // While the load isn't known yet, half of what is wanted has to stay. Engines
-  // that change their role serve nobody meanwhile.
+  // Until the load is known, half of the target is kept. Engines that are
+  // changing their role serve no requests, so they are added to the need.
   const int64_t least = std::min(first, planned / 2);
   return {.wanted = planned,
           .needed = std::max(EnginesWanted(lately, 1, bounds, scaling), least) +
@@ -244,8 +246,8 @@
   }
 }
 
-// Orders the first spot engines by what is listed so far. What is missing is
-// ordered once all are listed.
+// Orders the first spot engines based on the engines listed so far. Once all
+// are listed, OrderZones() orders the rest.
 void FleetDuties::OrderFirst(Instant now,
                              const ServiceId& service,
                              const ScaleBounds& bounds,
@@ -285,9 +287,10 @@
   }
 }
 
-// Asks zones that had no spot engines whether they have some again. Until one
-// says yes the plan does without it: an order that counted on it would send
-// away the on-demand engines that stand in, and a refusal order them anew.
+// Retries spot orders in zones that had no spot engines available. Such a zone
+// stays out of the main plan until an order is accepted: a plan that relied on
+// it would remove the on-demand engines that replace its spot engines, and
+// order them again after a refusal.
 void FleetDuties::RetryUnavailableZones(Instant now,
                                         const ServiceId& service,
                                         const ScaleBounds& bounds,
@@ -351,7 +354,7 @@
           this->spot_unavailable_until.erase(key);
           return;
         }
-        LogInfo(kPart, "Engines can't be had.",
+        LogInfo(kPart, "Engine order failed.",
                 {{"zone", key.zone.Text()},
                  {"kind", key.spot ? "spot" : "on-demand"}});
         this->scale_orders.erase(key);
--- a/packages/relay/fleet_peers.cc
+++ b/packages/relay/fleet_peers.cc
@@ -14,7 +14,7 @@
 constexpr std::string_view kSecretKey = "hickorystand/secret";
 constexpr std::string_view kHostPrefix = "hickorystand/hosts/";
 
-// One list of hosts, whatever their zones and roles.
+// All hosts share one group, regardless of zone and role.
 const DataCentreId& Group() {
   static const DataCentreId kGroup("fleet");
   return kGroup;
@@ -52,7 +52,7 @@
       [this] { this->List(); });
 }
 
-// The first host to come makes the secret.
+// Generates the secret unless another host has already done so.
 void FleetPeers::MakeSecret() {
   const std::string key(kSecretKey);
   this->store->Transact({.conditions = {{.key = key, .revision = 0}},
@@ -73,11 +73,11 @@
       Timer::After(this->options.first_list, [this] { this->ReadSecret(); });
 }
 
-// The store's revision is this run's incarnation at the links. Others refuse an
-// incarnation below one that they have seen, and by the time of day a host that
-// is restarted after its clock was set back would be refused for as long as it
-// runs. Between two runs of a host the revision has grown: each run writes its
-// own record only after it has read the revision.
+// The store's revision serves as the incarnation of this process on its links.
+// Hosts reject an incarnation lower than one they have seen. With the time of
+// day, a host restarted after its clock was set back would be rejected until
+// its next restart. The revision is higher after each restart of a host,
+// because each process writes its record after it has read the revision.
 void FleetPeers::ReadSecret() {
   this->store->Transact({.then = {StoreGet(std::string(kSecretKey))}},
                         [this](const StoreReply& reply) {
@@ -117,7 +117,8 @@
           .on_down = [this](const HostId& host) { this->OnDown(host); }};
 }
 
-// A draining host that is gone usually starts again at once.
+// A draining host usually restarts immediately after its link has closed, so
+// the list is read early.
 void FleetPeers::OnDown(const HostId& host) {
   LogInfo(kPart, "Host lost.", {{"host", host.Text()}});
   this->linked_schedulers.erase(host);
@@ -144,8 +145,8 @@
   }
 }
 
-// The refresh waits for the next turn: it may close links, which a callback of
-// theirs mustn't.
+// The links are refreshed in the next turn of the main loop, because that may
+// close links, which is not allowed within their callbacks.
 void FleetPeers::NoteDraining(const HostId& host) {
   if (!this->draining.insert(host).second) {
     return;
@@ -166,7 +167,7 @@
   }
 }
 
-// Once both the secret and the role are known.
+// Opens the links once both the secret and the role are known.
 void FleetPeers::OpenLinks() {
   if (this->secret.empty() || this->role == FleetRole::kUnknown ||
       this->links) {
@@ -190,7 +191,7 @@
   this->links =
       std::make_unique<PeerLinks>(std::move(how), this->LinkHandlers());
   if (const auto opened = this->links->Listen(); !opened) {
-    LogError(kPart, "Can't listen to other hosts.",
+    LogError(kPart, "Failed to listen for links from other hosts.",
              {{"why", opened.error().message}});
   }
   this->SetPatience();
@@ -198,8 +199,9 @@
   this->SendDigest();
 }
 
-// Nobody calls an ingress host, and its callers wait while a scheduler says
-// nothing.
+// An ingress host always opens its links itself, so it does not wait for the
+// other side to do so. Its silence timeout is short because its callers wait
+// while a scheduler is silent.
 void FleetPeers::SetPatience() {
   if (this->links && this->role == FleetRole::kIngress) {
     this->links->SetPatience(this->options.ingress_silence, Duration{});
@@ -219,7 +221,8 @@
         return PeerHost{
             .host = host.id, .data_centre = Group(), .address = host.address};
       });
-  // A scheduler that became an ingress host forwards on the link it had.
+  // A host that became an ingress host forwards over the links it already had,
+  // so schedulers keep links to hosts that are no longer listed.
   this->links->SetHosts(targets, this->role == FleetRole::kScheduler
                                      ? Delisted::kKeep
                                      : Delisted::kClose);
@@ -257,7 +260,7 @@
                          EncodeFleetHost(self), this->lease)}},
       [this](const StoreReply& reply) {
         if (reply.outcome != StoreOutcome::kThen) {
-          this->lease = 0;  // the next renewal starts over
+          this->lease = 0;  // the next renewal registers again
         }
       });
 }
@@ -317,7 +320,7 @@
 
 void FleetPeers::TakeList(const StoreReply& reply) {
   if (reply.revision < this->list_revision) {
-    return;  // the stale answer is older than the last one
+    return;  // a stale read may be older than the previous one
   }
   if (this->left && this->role != FleetRole::kIngress) {
     return;
@@ -334,13 +337,13 @@
     } else if (host) {
       hosts.push_back(*host);
     } else {
-      LogWarning(kPart, "Record of a host can't be read.",
+      LogWarning(kPart, "Malformed host record.",
                  {{"host", id.Text()}, {"why", host.error().message}});
     }
   }
   if (this->role == FleetRole::kUnknown && this->options.first_start &&
       !self_listed) {
-    return;  // this host's own record isn't there yet, nor are many others
+    return;  // own record not written yet, so others are probably missing too
   }
   this->KeepLinked(hosts);
   hosts.push_back(this->options.self);
@@ -376,8 +379,8 @@
   }
 }
 
-// Links that are up stay as long as they are to schedulers, and any that
-// carries requests stays until they are over.
+// Established links are kept as long as they lead to schedulers, and a link
+// that carries requests is kept until these have ended.
 std::vector<FleetHost> FleetPeers::PickLinks(
     const std::vector<FleetHost>& listed) const {
   std::vector<FleetHost> picked = PickSchedulers(
@@ -393,8 +396,8 @@
   return picked;
 }
 
-// A list may be read while records are missing, so one alone doesn't change a
-// role that a host has.
+// Records may be missing from a list, so a single list does not change the
+// current role.
 void FleetPeers::TakeRole(FleetRole planned) {
   if (planned == this->role) {
     this->lists_against_role = 0;
@@ -406,7 +409,7 @@
   }
   this->lists_against_role = 0;
   this->role = planned;
-  LogInfo(kPart, "This host has another role.",
+  LogInfo(kPart, "Role of this host changed.",
           {{"role", std::string(NameOf(planned))}});
   this->handlers.on_role(planned);
   this->SetPatience();
@@ -417,10 +420,10 @@
   }
 }
 
-// Adds the schedulers that aren't listed any more but still talk to this host.
-// The store may turn a host away: its record lapses while it serves on, and
-// without its link nobody would hear what it counted and what it sent to
-// endpoints. A host that is really gone falls silent, and its link ends.
+// Adds schedulers that are no longer listed but still linked. If the store
+// rejects the calls of a host, its record expires while the host continues to
+// serve; without the link, its usage counts and its work at endpoints would
+// reach no other host. The link to a host that has really stopped times out.
 void FleetPeers::KeepLinked(std::vector<FleetHost>& listed) const {
   if (!this->links) {
     return;
--- a/packages/relay/fleet_peers.h
+++ b/packages/relay/fleet_peers.h
@@ -1,12 +1,18 @@
-// The other hosts of the fleet: how they find each other, which of them are
-// schedulers, and the links between them.
+// Discovery of the other hosts of the fleet, selection of the schedulers, and
+// the links between hosts.
 //
-// Each host writes a record of itself into the platform's key-value service,
-// bound to a lease, so that the record goes when the host does. Every host
-// reads all records and works out the same schedulers from them
-// (fleet_topology.h). Schedulers are linked with each other; an ingress host is
-// linked with a few of them. A secret in the store, made once by whoever comes
-// first, proves that a caller is of the fleet.
+// Index
+//   FleetPeersOptions    this host's record, intervals and timeouts
+//   FleetRole            ingress host or scheduler
+//   FleetPeersHandlers   callbacks
+//   FleetPeers           registration, host list, role and links
+//
+// Each host writes its record to the platform's key-value service under a
+// lease, so that the record is deleted when the host stops renewing it. Every
+// host reads all records and derives the same set of schedulers from them
+// (decisions/fleet_topology.h). Schedulers are linked with each other; an
+// ingress host is linked with a few of them. The first host generates a secret
+// in the store, with which hosts authenticate to each other.
 
 #pragma once
 
@@ -23,58 +29,65 @@
 
 namespace hickorystand {
 
-// How hosts are found and talk.
+// This host's record, intervals and timeouts.
 struct FleetPeersOptions {
   FleetHost self;
-  uint64_t seed = 1;  // of the pauses between tries
-  // The whole fleet starts for the first time: its records come one by one.
+  uint64_t seed = 1;  // of the jitter of retries and reads
+  // The whole fleet starts for the first time: its records appear one by one.
   bool first_start = false;
   FleetTopologyOptions topology;
   Duration lease = std::chrono::seconds(10);  // of the host's record
   Duration renew = std::chrono::seconds(3);
-  // Between reads of all records, by schedulers and by ingress hosts.
+  // Interval between reads of all records, on schedulers and on ingress hosts.
   Duration list = std::chrono::seconds(3);
   Duration ingress_list = std::chrono::seconds(8);
   Duration first_list = std::chrono::milliseconds(400);
-  // An ingress host that hears of a draining host reads within this time, at
-  // random: many hosts hear it at once.
+  // An ingress host that is notified of a draining host reads the list after a
+  // random delay of up to this, because many hosts are notified at once.
   Duration list_spread = std::chrono::milliseconds(1200);
-  // Lists in a row that have to give a host another role until it takes it.
+  // Consecutive lists that must assign another role before a host switches.
   int64_t lists_for_role = 2;
-  // Between tries to link to a host again: after a partition has healed, the
-  // counts of the other side must arrive before their report is due.
+  // Longest interval between attempts to reconnect. It is short so that the
+  // usage counts of the other side of a healed partition arrive before their
+  // report is due.
   Duration longest_backoff = std::chrono::milliseconds(1500);
-  // An ingress host sends requests to another scheduler once one has been
-  // silent for so long; schedulers say something at least this often.
+  // An ingress host closes the link to a scheduler from which nothing arrived
+  // for this long, and sends its requests to another one. Linked hosts send
+  // heartbeats at the interval below.
   Duration ingress_silence = std::chrono::milliseconds(2600);
   Duration heartbeat = std::chrono::milliseconds(1000);
-  // Of digests. Queues at endpoints change within tenths of a second.
+  // Shortest interval between digests, and their bandwidth limit. Queues at
+  // endpoints change within tenths of a second.
   Duration shortest_digest = std::chrono::milliseconds(100);
   double digest_bytes_per_second = 24000;
 };
 
-// What a host does for the fleet.
+// Role of a host in the fleet.
 enum class FleetRole { kUnknown, kIngress, kScheduler };
 
 // Callbacks of FleetPeers.
 struct FleetPeersHandlers {
   std::function<Digest()> make_digest;
   std::function<void(const Digest&)> on_digest;
-  // This host has another role from now on.
+  // The role of this host has changed.
   std::function<void(FleetRole)> on_role;
-  // The schedulers that this host is to be linked with.
+  // The set of schedulers that this host should be linked with has changed.
   std::function<void(const std::vector<FleetHost>&)> on_schedulers;
-  // How many schedulers there are, this host included if it is one.
+  // The number of schedulers, including this host if it is one.
   std::function<void(size_t)> on_listed;
   std::function<void(const HostId&)> on_linked;
   std::function<void(const HostId&)> on_gone;
-  // A linked host has said that it is a scheduler, as this host is.
+  // A linked host has reported that it is a scheduler. Called on schedulers
+  // only.
   std::function<void(const HostId&)> on_scheduler_linked;
-  // Whether a link carries something that would be lost with it.
+  // Whether the link to a host carries requests, which closing it would fail.
   std::function<bool(const HostId&)> in_use;
   std::function<void(const HostId&, const PeerMessage&)> on_message;
 };
 
+// Registers this host, reads the list of hosts, determines this host's role and
+// maintains its links. Errors of the store are retried; messages to hosts that
+// are not linked are dropped.
 class FleetPeers {
  public:
   FleetPeers(FleetPeersOptions options,
@@ -83,14 +96,17 @@
              FleetPeersHandlers handlers);
   ~FleetPeers();
 
-  // Starts to register, to list and to link.
+  // Starts to register this host, to read the list and to open links.
   void Start();
 
-  // Takes this host off the list; the others stop to count on it. An ingress
-  // host goes on to look for schedulers that its last requests go to.
+  // Deletes this host's record, so that other hosts remove it from their plans.
+  // An ingress host continues to read the list, in order to find schedulers for
+  // its remaining requests.
   void Leave();
 
-  // Sends to one host, to all linked ones, or to the schedulers among them.
+  // Send to one host, to all linked hosts, or to the linked schedulers. Send()
+  // returns false if the host is not linked or its queue is full; the others
+  // return the number of hosts.
   bool Send(const HostId& host, const PeerMessage& message);
   size_t Broadcast(const PeerMessage& message);
   size_t BroadcastToSchedulers(const PeerMessage& message);
@@ -98,21 +114,22 @@
   FleetRole Role() const { return this->role; }
   const FleetHost& Self() const { return this->options.self; }
 
-  // Whether a linked host has said that it is a scheduler.
+  // Whether a host is linked and has reported that it is a scheduler.
   bool IsScheduler(const HostId& host) const {
     return this->linked_schedulers.contains(host);
   }
 
-  // The other schedulers that are linked now.
+  // The other schedulers that are currently linked.
   std::vector<FleetHost> LinkedSchedulers() const;
 
-  // How many schedulers stand in the list, this host included; the others that
-  // this host is to be linked with; and its place among all, by id.
+  // The number of schedulers, including this host if it is one; the schedulers
+  // that this host should be linked with; and the number of other schedulers
+  // with a lower id.
   size_t Listed() const { return this->listed; }
   std::vector<HostId> Others() const;
   size_t Rank() const { return this->rank; }
 
-  // Of this run at the links; 0 until they are open.
+  // Incarnation of this process on its links; 0 until the secret was read.
   uint64_t Incarnation() const { return this->incarnation; }
 
  private:
@@ -143,16 +160,16 @@
   KeyValueStore* store;
   FleetPeersHandlers handlers;
   std::mt19937_64 random;
-  uint64_t incarnation = 0;  // of this run, once it is known
-  std::string secret;        // of the fleet, once it was read
+  uint64_t incarnation = 0;  // of this process; 0: not known yet
+  std::string secret;        // of the fleet; empty: not read yet
   std::unique_ptr<PeerLinks> links;
   FleetRole role = FleetRole::kUnknown;
   int64_t lists_against_role = 0;
-  std::vector<FleetHost> schedulers;  // that this host is to be linked with
+  std::vector<FleetHost> schedulers;  // that this host should be linked with
   std::set<HostId> linked_schedulers;
-  std::set<HostId> draining;       // linked hosts that have said so
-  std::vector<FleetHost> planned;  // the other schedulers of the last list
-  Instant listed_at{};             // when that was read
+  std::set<HostId> draining;       // linked hosts that are draining
+  std::vector<FleetHost> planned;  // other schedulers by the last list
+  Instant listed_at{};             // time of the last list
   bool lists_soon = false;
   int64_t list_revision = -1;
   int64_t lease = 0;
--- a/packages/relay/fleet_records.h
+++ b/packages/relay/fleet_records.h
@@ -1,5 +1,5 @@
-// How the fleet's configuration and endpoints are written down in the
-// platform's key-value service. A plug-in knows the spelling.
+// Format of the fleet's configuration and endpoint records in the platform's
+// key-value service. Implemented by a plug-in.
 
 #pragma once
 
@@ -14,6 +14,7 @@
 
 namespace hickorystand {
 
+// Locates and decodes the records.
 class FleetRecords {
  public:
   static constexpr const char* kPluginKind = "fleet records";
@@ -21,13 +22,13 @@
 
   virtual ~FleetRecords() = default;
 
-  // The record that holds the newest configuration.
+  // Key of the record that holds the newest configuration.
   virtual std::string ConfigurationKey() const = 0;
 
-  // What the keys of all endpoints begin with.
+  // Common prefix of the keys of all endpoint records.
   virtual std::string EndpointPrefix() const = 0;
 
-  // Reads a record's value; kBadRequest if it is none of that sort.
+  // Decode a record's value. The error is kBadRequest if it is malformed.
   virtual Result<FleetConfiguration> ReadConfiguration(
       const std::string& value) const = 0;
   virtual Result<FleetEndpoint> ReadEndpoint(
--- a/packages/relay/platform_duties.h
+++ b/packages/relay/platform_duties.h
@@ -1,12 +1,13 @@
-// What one host at a time does for all: reports what client accounts used, and
-// orders endpoints. A plug-in speaks to the platform.
+// Interface to the platform calls that one host at a time makes for the whole
+// fleet: usage reports, endpoint orders and role orders. Implemented by a
+// plug-in.
 //
 // Index
-//   DutyAuthority         the right to act, checked as the bytes leave
-//   UsageReport           requests that began in one window
-//   EndpointCountOrder    how many endpoints a service shall have in a zone
-//   RoleOrder             which role an engine shall have
-//   DutyOutcome           what became of a call
+//   DutyAuthority         permission to send, checked before each write
+//   UsageReport           requests begun in one window, by client account
+//   EndpointCountOrder    target number of endpoints of a service in a zone
+//   RoleOrder             target role of an engine
+//   DutyOutcome           outcome of a call
 //   PlatformDuties        the interface
 
 #pragma once
@@ -23,8 +24,9 @@
 
 namespace hickorystand {
 
-// The right to act. `may_send` is asked in the step that hands bytes to a
-// socket: a process that was paused between deciding and sending has lost it.
+// Permission to send a call. `may_send` is evaluated in the step that hands
+// bytes to a socket, because a process that was paused between deciding and
+// sending may have lost the lease.
 struct DutyAuthority {
   HostId holder;
   int64_t fencing = 0;
@@ -39,7 +41,7 @@
   bool operator==(const UsageReport&) const = default;
 };
 
-// How many endpoints a service shall have in a zone.
+// Target number of endpoints of a service in a zone.
 struct EndpointCountOrder {
   ServiceId service;
   ZoneId zone;
@@ -49,7 +51,7 @@
   auto operator<=>(const EndpointCountOrder&) const = default;
 };
 
-// Which role an engine shall have.
+// Target role of an engine.
 struct RoleOrder {
   EndpointRun run;
   SocketAddress address;
@@ -58,14 +60,16 @@
   auto operator<=>(const RoleOrder&) const = default;
 };
 
-// What became of a call.
+// Outcome of a call.
 enum class DutyOutcome {
   kAccepted,
-  kRefused,  // it has no effect
+  kRefused,  // the call has no effect
   kNotSent,  // no byte left this host
-  kUnknown,  // it may have been received
+  kUnknown,  // the call may have been received
 };
 
+// Sends the calls to the platform and to engines. Each call reports its outcome
+// through `done`.
 class PlatformDuties {
  public:
   static constexpr const char* kPluginKind = "platform duties";
@@ -82,15 +86,15 @@
                               const DutyAuthority& authority,
                               Done done) = 0;
 
-  // Orders a role. The engine is asked first how many orders it has taken, and
-  // takes this one only if it is the next: a copy that is carried out late
-  // finds another number and does nothing.
+  // Orders a role. Reads the number of orders that the engine has carried out,
+  // and sends this order with the next number. The engine ignores any other
+  // number, so a duplicate that arrives late has no effect.
   virtual void ChangeRole(const RoleOrder& order,
                           const DutyAuthority& authority,
                           Done done) = 0;
 
-  // Ends the calls under way by closing their connections, so that nothing of
-  // them can still arrive once the authority is gone.
+  // Aborts the calls under way by closing their connections, so that none of
+  // them can arrive after the authority has ended.
   virtual void CancelAll() = 0;
 };
 
