--- a/packages/daemon/relay_daemon.cc
+++ b/packages/daemon/relay_daemon.cc
@@ -13,25 +13,26 @@
 
 constexpr std::string_view kPart = "host";
 
-// Between copies of what was counted here. What a killed host counted since
-// its last copy is lost: a tenth of a window of 5 s, on one host of several.
+// Interval between copies of this host's usage counts to other schedulers. The
+// counts of a killed host since its last copy are lost: with windows of 5 s, at
+// most a tenth of a window on one host of several.
 constexpr Duration kUsagePeriod = std::chrono::milliseconds(500);
 
-// A change of a believed rate that is worth a line, as a power of e.
+// Smallest change of an estimated rate that is logged, as a natural logarithm.
 constexpr double kPaceChange = 0.22;
 
-// Hosts that are asked at once for proof of the configuration.
+// Number of hosts queried at a time for proof of the configuration.
 constexpr size_t kPeersAsked = 2;
 
-// Hosts that tell all others which endpoint leaves: the first by id, several in
-// case one of them is cut off.
+// Number of hosts, the first by id, that report a leaving endpoint to all other
+// schedulers. There are several in case one of them is partitioned.
 constexpr size_t kTellers = 3;
 
-// How often a scheduler looks whether what it tells ingress hosts has changed.
+// Interval at which a scheduler checks whether its broadcast state has changed.
 constexpr Duration kNewsPeriod = std::chrono::milliseconds(250);
 
-// A host whose timers are this late on average, in seconds, says that it is
-// busy, until they aren't any more.
+// A host reports itself busy when its average timer delay, in seconds, exceeds
+// the first value, until it falls below the second.
 constexpr double kBusyLag = 0.08;
 constexpr double kNoLongerBusyLag = 0.03;
 constexpr double kLagWeight = 0.3;  // of the newest measurement
@@ -39,10 +40,11 @@
 
 constexpr Duration kDrainCheck = std::chrono::milliseconds(50);
 
-// Time for the final answers that the end of a stop causes to leave the host.
+// Time after the end of the stop schedule to transmit the final answers that it
+// causes.
 constexpr Duration kLastAnswers = std::chrono::milliseconds(100);
 
-// The plug-in of that name, or why there is none.
+// Creates the plug-in with the given name.
 template <typename Interface, typename... Arguments>
 Result<std::unique_ptr<Interface>> MakePlugin(const std::string& name,
                                               Arguments&&... arguments) {
@@ -61,7 +63,7 @@
           .value = EncodeWindowCopy(copy)};
 }
 
-// Takes a plug-in out of its result; false and the error if there is none.
+// Moves a plug-in out of its result, or returns false and sets the error.
 template <typename Interface>
 bool Take(Result<std::unique_ptr<Interface>> made,
           std::unique_ptr<Interface>& to,
@@ -246,7 +248,7 @@
 }
 
 // A scheduler forwards requests until it is ready to serve, and while another
-// scheduler reports a newer configuration version: loading a large
+// scheduler reports a newer configuration version, because loading a large
 // configuration can take more than a second on a slow host.
 void RelayDaemon::OnCaller(const CallerExchangePtr& caller) {
   const bool up_to_date =
@@ -282,7 +284,7 @@
                          this->clock->Now() < this->stop->takes_until};
 }
 
-// How late timers fire shows whether this host keeps up with its work.
+// The delay of timers indicates whether the main loop is overloaded.
 void RelayDaemon::MeasureLag() {
   const Instant now = this->clock->Now();
   const double late = std::max(ToSeconds(now - this->news_due), 0.0);
@@ -291,7 +293,8 @@
   const bool was = this->busy;
   this->busy = this->lag > (was ? kNoLongerBusyLag : kBusyLag);
   if (this->busy != was) {
-    LogInfo(kPart, this->busy ? "This host is busy." : "This host keeps up.",
+    LogInfo(kPart,
+            this->busy ? "This host is busy." : "This host is no longer busy.",
             {{"lag_ms", std::to_string(this->lag * kMillisecondsPerSecond)}});
   }
 }
@@ -311,7 +314,8 @@
   } else {
     this->unready_schedulers.erase(from);
   }
-  // Until the others have it too, ingress hosts send everything to that one.
+  // Ingress hosts send all requests to the schedulers that have the newest
+  // configuration, so the others must read it quickly.
   const FleetConfigurationPtr& own = this->relay->Configuration();
   if (this->IsScheduler() && own && news.configuration_version > own->version) {
     this->source->PollConfigurationNow(news.configuration_version);
@@ -324,7 +328,8 @@
   }
 }
 
-// Shares the engines' cache events among the schedulers that are linked.
+// Divides the subscriptions to engines' cache events among the linked
+// schedulers.
 void RelayDaemon::FollowCaches() {
   this->subscribers.clear();
   if (this->IsScheduler()) {
@@ -335,8 +340,8 @@
   this->limits->RefreshPeers();
 }
 
-// A new link may replace one that nobody saw break; what was sent on the old
-// one is lost.
+// A new link may replace one whose loss was not detected; messages in flight on
+// the old link are lost.
 void RelayDaemon::OnLinked(const HostId& host) {
   this->forwarder->OnLost(host);
   this->receiver->OnLost(host);
@@ -394,7 +399,7 @@
               }});
 }
 
-// Tells the other schedulers what was counted here.
+// Sends this host's usage counts and prefill load to the other schedulers.
 void RelayDaemon::TellUsage() {
   if (!this->IsScheduler()) {
     return;
@@ -407,7 +412,7 @@
       PrefillLoad{this->relay->PrefillPerSecond()});
 }
 
-// Prompt tokens a second of a service that all schedulers ask for.
+// Prompt tokens per second of a service that all schedulers request together.
 double RelayDaemon::FleetPrefill(const ServiceId& service) const {
   const auto of = [&service](const std::map<ServiceId, double>& rates) {
     const auto found = rates.find(service);
@@ -420,7 +425,7 @@
   return sum;
 }
 
-// Logs how fast engines are believed to be, whenever that has changed much.
+// Logs the estimated prefill rate of engines when it has changed considerably.
 void RelayDaemon::LogPace() {
   for (const auto& [service, pace] : this->relay->Placement().OwnPace()) {
     double& logged = this->logged_pace[service];
@@ -430,14 +435,14 @@
     }
     logged = seconds;
     LogInfo(
-        kPart, "Engines read at another rate than was believed.",
+        kPart, "Prefill rate estimate changed.",
         {{"service", service.Text()},
          {"prompt_tokens_per_second", std::to_string(1 / seconds)},
          {"measurements", std::to_string(pace.token_prefill.measurements)}});
   }
 }
 
-// Tells a host that has just been linked what all hosts have counted.
+// Sends the usage counts of all hosts to a newly linked scheduler.
 void RelayDaemon::TellAllUsage(const HostId& host) {
   for (const WindowCopy& copy : this->duties->Usage().AllCopies()) {
     this->peers->Send(host, MessageOf(copy));
@@ -479,7 +484,7 @@
          .started = static_cast<int64_t>(news->incarnation)});
   } else if (const auto* pace = std::get_if<PaceMessage>(&message)) {
     this->relay->Placement().AdoptPace(pace->services);
-    LogInfo(kPart, "Another host told how fast engines are.",
+    LogInfo(kPart, "Engine rates received from another host.",
             {{"host", from.Text()},
              {"services", std::to_string(pace->services.size())}});
   }
@@ -492,15 +497,15 @@
   if (const auto copy = DecodeWindowCopy(usage.value)) {
     this->duties->Usage().Merge(*copy);
   } else {
-    LogWarning(kPart, "Usage of another host can't be read.",
+    LogWarning(kPart, "Malformed usage message.",
                {{"host", usage.host.Text()}, {"why", copy.error().message}});
   }
 }
 
-// A host that the store turns away, or that is cut off from it, gets proof and
-// newer configurations from hosts that aren't. Without, it would refuse every
-// key after the bound on revoked keys. The hosts are asked in turn, since the
-// first ones may be cut off as well.
+// A host whose calls the store rejects, or that is partitioned from it, obtains
+// proof and newer configurations from other hosts. Otherwise it would refuse
+// every key once the bound on revoked keys has passed. The hosts are queried
+// round-robin, because the first ones may be partitioned as well.
 void RelayDaemon::AskPeers(const FreshnessQuestion& question) {
   const std::vector<HostId> others = this->peers->Others();
   size_t asked = 0;
@@ -510,8 +515,9 @@
   }
 }
 
-// Hosts that can't read the list hear from others that an endpoint leaves.
-// Those that can have read it within a second, so a few tellers are enough.
+// Informs hosts that can't read the endpoint list of a leaving endpoint. Hosts
+// that can read it do so within a second, so messages from a few of them
+// suffice.
 void RelayDaemon::TellLeaving(const EndpointRun& run) {
   if (this->peers->Rank() < kTellers) {
     this->peers->BroadcastToSchedulers(
@@ -613,7 +619,7 @@
                    this->metrics.PrometheusText());
 }
 
-// What this host does now, and whom it can forward to.
+// Metrics of this host's role and of the schedulers it can forward to.
 void RelayDaemon::SetRoleMetrics() {
   const auto set = [this](std::string_view name, auto value) {
     this->metrics.Set(name, static_cast<double>(value));
@@ -627,7 +633,7 @@
   set("schedulers_unready", this->unready_schedulers.size());
 }
 
-// What was learned of a service's engines.
+// Metrics of the measured rates of a service's engines.
 void RelayDaemon::SetPaceMetrics(const ServiceId& service,
                                  const PaceFigures& pace) {
   this->metrics.Set("engine_prompt_tokens_per_second",
@@ -666,7 +672,8 @@
   if (!finished && now < schedule.finish_by + kLastAnswers) {
     return;
   }
-  // The main loop may still call what is ready in this turn.
+  // Sources that are already ready may still be dispatched in this iteration of
+  // the main loop.
   this->ended = true;
   this->relay->StopReading();
   this->relay->LogUnfinished();
@@ -694,7 +701,7 @@
   for (const std::string_view name : fixed) {
     names.append(names.empty() ? "" : " ").append(name);
   }
-  LogInfo(kPart, "Settings read again.", {{"need_restart", names}});
+  LogInfo(kPart, "Settings reloaded.", {{"need_restart", names}});
 }
 
 }  // namespace hickorystand
--- a/packages/daemon/relay_daemon.h
+++ b/packages/daemon/relay_daemon.h
@@ -1,10 +1,14 @@
-// A host that relays requests for a fleet on the users' platform: the relay,
-// what it knows of the fleet, and its answers to the balancer.
+// A relay host: connects the relay with the fleet's configuration, endpoints,
+// peers, limits and duties, and answers readiness checks and metrics requests.
 //
-// As a scheduler it reads the store and serves requests itself, its own
-// callers' and those that ingress hosts forward. As an ingress host it
-// forwards, and reads nothing but the list of hosts
+// As a scheduler it reads the store and serves requests, both of its own
+// callers and forwarded by ingress hosts. As an ingress host it forwards
+// requests to schedulers and reads only the list of hosts
 // (decisions/fleet_topology.h).
+//
+//     RelayDaemon daemon(settings, clock, [] { /* leave the main loop */ });
+//     if (const auto started = daemon.Start(); !started) { ... }
+//     daemon.Drain(signalled);  // on the stop signal
 
 #pragma once
 
@@ -22,9 +26,11 @@
 
 namespace hickorystand {
 
+// Owns all parts of the host and dispatches messages between them. Runs on the
+// main loop.
 class RelayDaemon {
  public:
-  // `stopped` is called once a stop has finished.
+  // `stopped` is called when a drain has finished.
   RelayDaemon(RelayHostSettings settings,
               const Clock& clock,
               std::function<void()> stopped);
@@ -32,16 +38,19 @@
   RelayDaemon(const RelayDaemon&) = delete;
   RelayDaemon& operator=(const RelayDaemon&) = delete;
 
-  // Opens the addresses and starts to read from the store.
+  // Creates the plug-ins, listens on all addresses and registers with the
+  // fleet. Fails with kBadSetting if there is no such plug-in, or with the
+  // error of the address that can't be opened.
   Result<int> Start();
 
-  // Stops in order: says that it isn't ready, serves on while callers still
-  // come, finishes what runs, and ends before the kill, whose time counts from
-  // when the stop signal arrived.
+  // Stops in order: reports itself not ready, serves the requests that still
+  // arrive, completes those that are running, and finishes before the platform
+  // kills the process. The grace time counts from `signalled`, the arrival of
+  // the stop signal.
   void Drain(Instant signalled);
 
-  // Takes changed settings: bounds, budgets and the log's level at once. What
-  // only a start takes up is named in the log.
+  // Applies changed settings. Bounds, budgets and the log level take effect at
+  // once; changed settings that need a restart are logged.
   void Reload(const RelayHostSettings& changed);
 
  private:
@@ -92,28 +101,29 @@
   std::unique_ptr<FleetSource> source;
   std::unique_ptr<FleetPeers> peers;
   std::unique_ptr<FleetDuties> duties;
-  // Of earlier times as a scheduler: calls of theirs may still be answered.
+  // From earlier periods as a scheduler. Answers to their calls may still
+  // arrive.
   std::vector<std::unique_ptr<FleetDuties>> former_duties;
   bool duties_retired = false;
   std::unique_ptr<RequestForwarder> forwarder;
   std::unique_ptr<ForwardReceiver> receiver;
-  std::vector<FleetHost> subscribers;  // to engines' cache events, in turn
+  std::vector<FleetHost> subscribers;        // share the engines' cache events
   std::map<HostId, PrefillLoad> peer_loads;  // of the other schedulers
-  std::set<HostId> unready_schedulers;       // linked, take no new requests
-  SchedulerNews told_news;                   // to all hosts that are linked
+  std::set<HostId> unready_schedulers;       // linked, but not ready
+  SchedulerNews told_news;                   // last state broadcast
   std::unique_ptr<Timer> news_timer;
   Instant news_due{};
-  double lag = 0;  // mean lateness of timers, seconds
+  double lag = 0;  // moving average of timer delay, seconds
   bool busy = false;
-  // Seconds for a prompt token, as they stand in the log.
+  // Prefill time per prompt token in seconds, as last logged.
   std::map<ServiceId, double> logged_pace;
   std::unique_ptr<Timer> usage_timer;
   CallerServer ready_server;
   CallerServer metrics_server;
   std::optional<StopSchedule> stop;
-  bool ended = false;  // takes nothing any more
+  bool ended = false;  // ignores all further messages
   std::unique_ptr<Timer> drain_timer;
-  size_t next_asked = 0;  // place among the other hosts
+  size_t next_asked = 0;  // round-robin position among the other hosts
 };
 
 }  // namespace hickorystand
--- a/packages/daemon/relay_settings.cc
+++ b/packages/daemon/relay_settings.cc
@@ -11,27 +11,29 @@
 
 constexpr int64_t kMinuteInMilliseconds = 60000;
 
-// The longest and the shortest time between two reads of the store. What must
-// be known within a bound is read twice in it, so that one read may fail.
+// Range of the interval between two reads of the store. Data that must be known
+// within a bound is read twice within that bound, so that one read may fail.
 constexpr Duration kLongestPoll = std::chrono::seconds(1);
 constexpr Duration kShortestPoll = std::chrono::milliseconds(200);
 constexpr int64_t kReadsWithinABound = 2;
 
-// Reads that may stay unanswered until other hosts are asked.
+// Number of unanswered reads after which other hosts are queried.
 constexpr int64_t kReadsBeforePeers = 2;
 
-// What the proof that a key still holds may be older than when it is used, is
-// the bound on revoked keys less this: the request's way to the endpoint,
-// and clocks that run at different speeds.
+// A key is accepted if the proof that it is valid is not older than the bound
+// on revoked keys minus this margin. The margin covers the transmission of the
+// request to the endpoint, and clocks that run at different speeds.
 constexpr Duration kRevokeMargin = std::chrono::milliseconds(800);
 
-// Windows, bounds and the grace of a stop below a second can't be kept: hosts
-// tell each other twice a second and read the store once in one.
+// Minimum of windows, bounds and the grace time of a stop. Shorter ones can't
+// be met, because hosts exchange messages twice a second and read the store
+// once a second.
 constexpr int64_t kLeastLength = 1000;  // ms
 
 constexpr double kThousandths = 1000;
 
-// A holder stops 600 ms before its lease ends, and renews it four times in it.
+// A holder stops acting 600 ms before its lease expires, and renews it four
+// times within its length.
 constexpr int64_t kLeastLease = 1200;  // ms
 
 SettingRule Address(std::string section, std::string key, std::string help) {
@@ -42,7 +44,7 @@
           .help = std::move(help)};
 }
 
-// A length of time of at least so many milliseconds.
+// A duration with a default and a minimum in milliseconds.
 SettingRule Length(std::string section,
                    std::string key,
                    std::string fallback,
@@ -174,8 +176,8 @@
   return {.poll = poll, .ask_peers_after = poll * kReadsBeforePeers};
 }
 
-// A setting that a running host can't change: others know the host by it, or
-// what it holds was agreed under it.
+// A setting that can't change while the host runs, because other hosts know the
+// host by it, or because leases and counts that it holds depend on it.
 struct FixedSetting {
   std::string_view name;
   bool (*differs)(const RelayHostSettings&, const RelayHostSettings&);
@@ -186,7 +188,8 @@
   return one.*Member != other.*Member;
 }
 
-// The guessed reading rate: by the time that it changes, rates are learned.
+// The initial prefill rate. A change has no effect on a running host, which has
+// measured the rate by then.
 bool GuessDiffers(const RelayHostSettings& one,
                   const RelayHostSettings& other) {
   return one.relay.placement.pace != other.relay.placement.pace;
--- a/packages/daemon/relay_settings.h
+++ b/packages/daemon/relay_settings.h
@@ -1,5 +1,8 @@
-// Settings of a host that relays requests for a fleet: one INI file, checked
-// whole. docs/CONFIGURATION.md lists every key.
+// Settings of a relay host, loaded from an INI file and validated as a whole.
+// docs/CONFIGURATION.md lists every key.
+//
+//     const auto settings = LoadRelaySettings(path);
+//     if (!settings) { /* settings.error() lists every fault */ }
 
 #pragma once
 
@@ -15,7 +18,7 @@
 
 namespace hickorystand {
 
-// Everything a relay host is told before it starts.
+// Settings of a relay host.
 struct RelayHostSettings {
   HostId host;
   ZoneId zone;
@@ -24,8 +27,8 @@
   SocketAddress metrics;
   SocketAddress peers;
   int64_t capacity = 0;      // processor, thousandths of a core
-  bool first_start = false;  // of the whole fleet, so nobody acted before
-  std::string adapter;       // the plug-ins that speak to this platform
+  bool first_start = false;  // of the whole fleet: no earlier duty holder
+  std::string adapter;       // name of the plug-ins for this platform
   SocketAddress store;
   Duration store_timeout{};
   SocketAddress duties;
@@ -33,20 +36,22 @@
   Duration grace{};  // from the stop signal to the kill
   Duration lease_length{};
   Duration usage_window{};
-  Duration usage_late{};  // after a window's end, when its report is due
+  Duration usage_late{};  // from a window's end until its report is due
   RelaySettings relay;
   LimitOptions limits;
   FleetSourceOptions source;
 };
 
-// Reads and checks the file. The error lists every fault found.
+// Reads and validates the file. The error lists every fault found.
 Result<RelayHostSettings> LoadRelaySettings(const std::string& path);
 
-// The settings that differ and that only a start takes up, by section and key.
+// The settings that differ and take effect only after a restart, as
+// "section.key", or the section if any of its keys differ.
 std::vector<std::string_view> NeedRestart(const RelayHostSettings& before,
                                           const RelayHostSettings& after);
 
-// Whether a file asks for a relay host, rather than a stand-alone one.
+// Whether a settings file configures a relay host, rather than a stand-alone
+// host.
 bool IsRelayFile(const std::string& path);
 
 }  // namespace hickorystand
