--- a/packages/relay/fleet_duties.h
+++ b/packages/relay/fleet_duties.h
@@ -241,9 +241,9 @@
   std::map<ServiceId, double> reading_peak;
   std::map<ServiceId, double> reading_now;
   std::map<ServiceId, double> streams_peak;
-  std::map<ServiceId, int64_t>
-      first_live;                        // engines at the start of the tenure
-  std::map<ServiceId, int64_t> planned;  // target number of engines
+  // Engines at the start of the tenure, and the target number of engines.
+  std::map<ServiceId, int64_t> first_live;
+  std::map<ServiceId, int64_t> planned;
   Instant next_scale{};
   std::unique_ptr<Timer> timer;
 };
