--- a/packages/daemon/relay_settings.cc
+++ b/packages/daemon/relay_settings.cc
@@ -28,13 +28,13 @@
 // Minimum of windows, bounds and the grace time of a stop. Shorter ones can't
 // be met, because hosts exchange messages twice a second and read the store
 // once a second.
-constexpr int64_t kLeastLength = 1000;  // ms
+constexpr int64_t kLeastLength = 1000;
 
 constexpr double kThousandths = 1000;
 
-// A holder stops acting 600 ms before its lease expires, and renews it four
-// times within its length.
-constexpr int64_t kLeastLease = 1200;  // ms
+// Minimum lease length in milliseconds. A holder stops acting 600 ms before its
+// lease expires, and renews it four times within its length.
+constexpr int64_t kLeastLease = 1200;
 
 SettingRule Address(std::string section, std::string key, std::string help) {
   return {.section = std::move(section),
@@ -68,38 +68,38 @@
       {.section = "relay",
        .key = "zone",
        .required = true,
-       .help = "the zone in which this host stands"},
+       .help = "zone of this host"},
       {.section = "relay",
        .key = "adapter",
        .required = true,
-       .help = "plug-ins that speak to the platform"},
+       .help = "name of the plug-ins for the platform"},
       {.section = "relay",
        .key = "first_start",
        .type = SettingType::kBoolean,
        .fallback = "false",
-       .help = "the whole fleet starts for the first time, so that no other "
-               "host can have had the duties before"},
+       .help = "whether the whole fleet starts for the first time, so that no "
+               "other host has held the duties before"},
       {.section = "relay",
        .key = "processor_share",
        .type = SettingType::kShare,
        .fallback = "1",
        .help = "cores that this host may use: the strongest hosts of a zone "
-               "schedule, the others forward to them"},
-      Address("listen", "callers", "address towards callers"),
-      Address("listen", "ready", "address that says whether callers may come"),
-      Address("listen", "metrics", "address of the metrics"),
-      Address("listen", "peers", "address towards the other hosts"),
+               "are schedulers, the others forward to them"},
+      Address("listen", "callers", "address for requests of callers"),
+      Address("listen", "ready", "address for readiness checks"),
+      Address("listen", "metrics", "address for metrics requests"),
+      Address("listen", "peers", "address for links from other hosts"),
       Address("store", "address", "the platform's key-value service"),
-      Length("store", "timeout", "1500ms", 10, "for one call"),
+      Length("store", "timeout", "1500ms", 10, "timeout of one call"),
       Address("duties", "address", "the platform's usage and scaling calls"),
       Length("duties", "lease", "3s", kLeastLease,
-             "of the host that has the duties"),
+             "length of the lease on the duties"),
       Length("duties", "usage_window", "5s", kLeastLength,
-             "that one usage report covers"),
+             "period that one usage report covers"),
       Length("duties", "usage_late", "10s", kLeastLength,
-             "after a window's end, until its report is due"),
+             "time from a window's end until its report is due"),
       Length("stop", "grace", "8s", kLeastLength,
-             "from the stop signal to the kill"),
+             "time from the stop signal to the kill"),
       Length("keys", "revoke_within", "5s", kLeastLength,
              "how soon a revoked key must stop working"),
       {.section = "keys",
@@ -113,43 +113,44 @@
       Length("fleet", "drain_within", "2s", kLeastLength,
              "how soon a leaving endpoint must get nothing new"),
       Length("retries", "window", "10s", kLeastLength,
-             "over which repeats are counted"),
+             "period over which retries are counted"),
       {.section = "retries",
        .key = "share",
        .type = SettingType::kShare,
        .fallback = "0.2",
-       .help = "repeats for each request"},
+       .help = "retries allowed per request"},
       {.section = "retries",
        .key = "slack",
        .type = SettingType::kShare,
        .fallback = "48",
-       .help = "repeats beyond that in each window, of all hosts together"},
+       .help = "additional retries per window, of all hosts together"},
       {.section = "fleet",
        .key = "prompt_tokens_per_second",
        .type = SettingType::kInteger,
        .fallback = "37900",
        .minimum = 1,
        .maximum = int64_t{1} << 40,
-       .help = "an engine's reading rate in the prefill role, until it is "
+       .help = "prefill rate of an engine in the prefill role, until it is "
                "measured"},
       Length("limits", "window", "8s", kLeastLength,
-             "over which the use of a client account's limit is judged"),
+             "period over which a client account's limit is enforced"),
       {.section = "limits",
        .key = "overage",
        .type = SettingType::kShare,
        .fallback = "0",
-       .help = "part of a limit that a window may exceed it by"},
+       .help = "share of a limit by which a window may exceed it"},
       {.section = "limits",
        .key = "slack",
        .type = SettingType::kShare,
        .fallback = "0",
-       .help = "tokens or requests that a window may exceed it by besides"},
+       .help =
+           "tokens or requests by which a window may exceed it in addition"},
       {.section = "log",
        .key = "level",
        .type = SettingType::kChoice,
        .fallback = "info",
        .choices = {"debug", "info", "warning", "error"},
-       .help = "least level that is written"},
+       .help = "lowest level that is logged"},
   };
 }
 
