--- a/packages/daemon/relay_settings.cc
+++ b/packages/daemon/relay_settings.cc
@@ -25,9 +25,9 @@
 // request to the endpoint, and clocks that run at different speeds.
 constexpr Duration kRevokeMargin = std::chrono::milliseconds(800);
 
-// Minimum of windows, bounds and the grace time of a stop. Shorter ones can't
-// be met, because hosts exchange messages twice a second and read the store
-// once a second.
+// Minimum of windows, bounds and the grace time of a stop, in milliseconds.
+// Shorter ones can't be met, because hosts exchange messages twice a second and
+// read the store once a second.
 constexpr int64_t kLeastLength = 1000;
 
 constexpr double kThousandths = 1000;
