--- a/packages/daemon/relay_daemon.cc
+++ b/packages/daemon/relay_daemon.cc
@@ -290,9 +290,9 @@
   const double late = std::max(ToSeconds(now - this->news_due), 0.0);
   this->news_due = now + kNewsPeriod;
   this->lag += kLagWeight * (late - this->lag);
-  const bool was = this->busy;
-  this->busy = this->lag > (was ? kNoLongerBusyLag : kBusyLag);
-  if (this->busy != was) {
+  const bool was_busy = this->busy;
+  this->busy = this->lag > (was_busy ? kNoLongerBusyLag : kBusyLag);
+  if (this->busy != was_busy) {
     LogInfo(kPart,
             this->busy ? "This host is busy." : "This host is no longer busy.",
             {{"lag_ms", std::to_string(this->lag * kMillisecondsPerSecond)}});
@@ -414,13 +414,13 @@
 
 // Prompt tokens per second of a service that all schedulers request together.
 double RelayDaemon::FleetPrefill(const ServiceId& service) const {
-  const auto of = [&service](const std::map<ServiceId, double>& rates) {
+  const auto rate_of = [&service](const std::map<ServiceId, double>& rates) {
     const auto found = rates.find(service);
     return found == rates.end() ? 0 : found->second;
   };
-  double sum = of(this->relay->PrefillPerSecond());
+  double sum = rate_of(this->relay->PrefillPerSecond());
   for (const auto& [host, load] : this->peer_loads) {
-    sum += of(load.tokens_per_second);
+    sum += rate_of(load.tokens_per_second);
   }
   return sum;
 }
--- a/packages/daemon/relay_settings.cc
+++ b/packages/daemon/relay_settings.cc
@@ -227,7 +227,7 @@
   const auto address = [&from](std::string_view section, std::string_view key) {
     return *ParseAddress(from->Text(section, key));
   };
-  RelayHostSettings made{
+  RelayHostSettings settings{
       .host = HostId(from->Text("relay", "id")),
       .zone = ZoneId(from->Text("relay", "zone")),
       .callers = address("listen", "callers"),
@@ -250,8 +250,8 @@
                  .overage = from->Share("limits", "overage"),
                  .slack = from->Share("limits", "slack")},
       .source = ReadSource(*from)};
-  ParseLogLevel(from->Text("log", "level"), made.log_level);
-  return made;
+  ParseLogLevel(from->Text("log", "level"), settings.log_level);
+  return settings;
 }
 
 std::vector<std::string_view> NeedRestart(const RelayHostSettings& before,
--- a/packages/relay/fleet_duties.cc
+++ b/packages/relay/fleet_duties.cc
@@ -240,9 +240,9 @@
 
 void FleetDuties::TakeLease(
     Instant now,
-    const std::function<bool(std::vector<LeaseAction>&)>& take) {
+    const std::function<bool(std::vector<LeaseAction>&)>& step) {
   std::vector<LeaseAction> actions;
-  take(actions);
+  step(actions);
   this->NoteHolding(now);
   this->Run(actions);
 }
--- a/packages/relay/fleet_duties.h
+++ b/packages/relay/fleet_duties.h
@@ -167,7 +167,7 @@
   void Tick();
   void Run(const std::vector<LeaseAction>& actions);
   void TakeLease(Instant now,
-                 const std::function<bool(std::vector<LeaseAction>&)>& take);
+                 const std::function<bool(std::vector<LeaseAction>&)>& step);
   void NoteHolding(Instant now);
   void NoteTaken(Instant now);
   void ReleaseWhenIdle(Instant now);
--- a/packages/relay/fleet_duties_engines.cc
+++ b/packages/relay/fleet_duties_engines.cc
@@ -196,10 +196,10 @@
                                                    const ScaleBounds& bounds,
                                                    int64_t live) {
   double& peak = this->reading_peak[service];
-  double& lately = this->reading_now[service];
+  double& recent = this->reading_now[service];
   const double reading = this->inputs.reading(service);
   peak = std::max(reading, peak * kPeakKept);
-  lately = std::max(reading, lately * kNowKept);
+  recent = std::max(reading, recent * kNowKept);
   const ScalePlanOptions scaling;
   const int64_t first =
       this->first_live.try_emplace(service, live).first->second;
@@ -212,10 +212,11 @@
   }
   // Until the load is known, half of the target is kept. Engines that are
   // changing their role serve no requests, so they are added to the need.
-  const int64_t least = std::min(first, planned / 2);
+  const int64_t min_engines = std::min(first, planned / 2);
   return {.wanted = planned,
-          .needed = std::max(EnginesWanted(lately, 1, bounds, scaling), least) +
-                    this->ChangingRoleOf(service),
+          .needed =
+              std::max(EnginesWanted(recent, 1, bounds, scaling), min_engines) +
+              this->ChangingRoleOf(service),
           .reading = reading};
 }
 
@@ -232,8 +233,8 @@
     const ScaleBounds& bounds = service.scaling.value();
     const EnginesByZone counts = this->CountEngines(id);
     int64_t live = 0;
-    for (const auto& [zone, of] : counts) {
-      live += of.on_demand + of.spot;
+    for (const auto& [zone, engines] : counts) {
+      live += engines.on_demand + engines.spot;
     }
     if (!this->CountSettled(now, id, live)) {
       this->OrderFirst(now, id, bounds, counts, live);
@@ -296,16 +297,17 @@
                                         const ScaleBounds& bounds,
                                         const EnginesByZone& counts,
                                         const EngineNeed& need) {
-  EnginesByZone hoped = counts;
-  for (auto& [zone, of] : hoped) {
-    of.spot_unavailable = false;
+  EnginesByZone counts_if_available = counts;
+  for (auto& [zone, engines] : counts_if_available) {
+    engines.spot_unavailable = false;
   }
-  const EnginesByZone plan = PlanScale(hoped, need.wanted, need.needed, bounds);
-  for (const auto& [zone, of] : counts) {
+  const EnginesByZone plan =
+      PlanScale(counts_if_available, need.wanted, need.needed, bounds);
+  for (const auto& [zone, engines] : counts) {
     const ScaleKey key{.service = service, .zone = zone, .spot = true};
-    if (of.spot_unavailable && now >= this->spot_unavailable_until.at(key) &&
-        plan.contains(zone)) {
-      this->OrderEngines(now, key, of.spot, plan.at(zone).spot, need);
+    if (engines.spot_unavailable &&
+        now >= this->spot_unavailable_until.at(key) && plan.contains(zone)) {
+      this->OrderEngines(now, key, engines.spot, plan.at(zone).spot, need);
     }
   }
 }
@@ -322,8 +324,9 @@
   const auto before = this->scale_orders.find(key);
   if (before != this->scale_orders.end()) {
     const bool same = before->second.count == count;
-    const bool shows = now - before->second.ordered < this->options.scale_shows;
-    if (before->second.under_way || (same && (has == count || shows))) {
+    const bool still_waiting =
+        now - before->second.ordered < this->options.scale_shows;
+    if (before->second.under_way || (same && (has == count || still_waiting))) {
       return;
     }
   } else if (has == count) {
--- a/packages/relay/fleet_peers.cc
+++ b/packages/relay/fleet_peers.cc
@@ -173,7 +173,7 @@
       this->links) {
     return;
   }
-  PeerLinksOptions how{
+  PeerLinksOptions link_options{
       .session = {.host = this->options.self.id,
                   .data_centre = Group(),
                   .incarnation = this->incarnation,
@@ -188,8 +188,8 @@
       .digests_to = [this](const HostId& host) {
         return this->role == FleetRole::kScheduler && this->IsScheduler(host);
       }};
-  this->links =
-      std::make_unique<PeerLinks>(std::move(how), this->LinkHandlers());
+  this->links = std::make_unique<PeerLinks>(std::move(link_options),
+                                            this->LinkHandlers());
   if (const auto opened = this->links->Listen(); !opened) {
     LogError(kPart, "Failed to listen for links from other hosts.",
              {{"why", opened.error().message}});
@@ -206,8 +206,9 @@
   if (this->links && this->role == FleetRole::kIngress) {
     this->links->SetPatience(this->options.ingress_silence, Duration{});
   } else if (this->links) {
-    const PeerLinksOptions usual;
-    this->links->SetPatience(usual.session.silence_timeout, usual.dial_grace);
+    const PeerLinksOptions defaults;
+    this->links->SetPatience(defaults.session.silence_timeout,
+                             defaults.dial_grace);
   }
 }
 
@@ -303,11 +304,12 @@
   const bool settled = this->role != FleetRole::kUnknown &&
                        this->lists_against_role == 0 && !lost &&
                        (this->listed > 1 || !this->schedulers.empty());
-  const Duration often = this->role == FleetRole::kIngress
-                             ? this->options.ingress_list
-                             : this->options.list;
-  this->list_timer = Timer::After(
-      settled ? often : this->options.first_list * 2, [this] { this->List(); });
+  const Duration interval = this->role == FleetRole::kIngress
+                                ? this->options.ingress_list
+                                : this->options.list;
+  this->list_timer =
+      Timer::After(settled ? interval : this->options.first_list * 2,
+                   [this] { this->List(); });
   this->store->Transact({.then = {{.kind = StoreOperation::Kind::kGetPrefix,
                                    .key = std::string(kHostPrefix)}},
                          .stale = true},
