--- a/packages/relay/fleet_duties.h
+++ b/packages/relay/fleet_duties.h
@@ -93,8 +93,8 @@
 };
 
 // Competes for the lease and performs the duties while it is held. Runs on a
-// timer after Start(). Calls that fail are logged and retried on a later tick;
-// nothing is reported to the caller.
+// timer after Start(). Failed calls are not reported to the caller; a later
+// tick repeats what is still needed.
 class FleetDuties {
  public:
   FleetDuties(FleetDutiesOptions options,
@@ -132,7 +132,7 @@
   struct RoleOrder {
     EndpointRun run;
     EndpointRole role = EndpointRole::kPrefill;
-    Instant until{};  // when the order is dropped if it had no effect
+    Instant until{};  // when an order without effect is dropped
     bool refused = false;
   };
 
