--- a/packages/daemon/relay_settings.cc
+++ b/packages/daemon/relay_settings.cc
@@ -11,28 +11,30 @@
 
 constexpr int64_t kMinuteInMilliseconds = 60000;
 
-// The longest and the shortest time between two reads of the store. What must
-// be known within a bound is read twice in it, so that one read may fail.
+// Range of the interval between two reads of the store. Data that must be known
+// within a bound is read twice within that bound, so that one read may fail.
 constexpr Duration kLongestPoll = std::chrono::seconds(1);
 constexpr Duration kShortestPoll = std::chrono::milliseconds(200);
 constexpr int64_t kReadsWithinABound = 2;
 
-// Reads that may stay unanswered until other hosts are asked.
+// Number of unanswered reads after which other hosts are queried.
 constexpr int64_t kReadsBeforePeers = 2;
 
-// What the proof that a key still holds may be older than when it is used, is
-// the bound on revoked keys less this: the request's way to the endpoint,
-// and clocks that run at different speeds.
+// A key is accepted if the proof that it is valid is not older than the bound
+// on revoked keys minus this margin. The margin covers the transmission of the
+// request to the endpoint, and clocks that run at different speeds.
 constexpr Duration kRevokeMargin = std::chrono::milliseconds(800);
 
-// Windows, bounds and the grace of a stop below a second can't be kept: hosts
-// tell each other twice a second and read the store once in one.
-constexpr int64_t kLeastLength = 1000;  // ms
+// Minimum of windows, bounds and the grace time of a stop, in milliseconds.
+// Shorter ones can't be met, because hosts exchange messages twice a second and
+// read the store once a second.
+constexpr int64_t kLeastLength = 1000;
 
 constexpr double kThousandths = 1000;
 
-// A holder stops 600 ms before its lease ends, and renews it four times in it.
-constexpr int64_t kLeastLease = 1200;  // ms
+// Minimum lease length in milliseconds. A holder stops acting 600 ms before its
+// lease expires, and renews it four times within its length.
+constexpr int64_t kLeastLease = 1200;
 
 SettingRule Address(std::string section, std::string key, std::string help) {
   return {.section = std::move(section),
@@ -42,7 +44,7 @@
           .help = std::move(help)};
 }
 
-// A length of time of at least so many milliseconds.
+// A duration with a default and a minimum in milliseconds.
 SettingRule Length(std::string section,
                    std::string key,
                    std::string fallback,
@@ -66,38 +68,38 @@
       {.section = "relay",
        .key = "zone",
        .required = true,
-       .help = "the zone in which this host stands"},
+       .help = "zone of this host"},
       {.section = "relay",
        .key = "adapter",
        .required = true,
-       .help = "plug-ins that speak to the platform"},
+       .help = "name of the plug-ins for the platform"},
       {.section = "relay",
        .key = "first_start",
        .type = SettingType::kBoolean,
        .fallback = "false",
-       .help = "the whole fleet starts for the first time, so that no other "
-               "host can have had the duties before"},
+       .help = "whether the whole fleet starts for the first time, so that no "
+               "other host has held the duties before"},
       {.section = "relay",
        .key = "processor_share",
        .type = SettingType::kShare,
        .fallback = "1",
        .help = "cores that this host may use: the strongest hosts of a zone "
-               "schedule, the others forward to them"},
-      Address("listen", "callers", "address towards callers"),
-      Address("listen", "ready", "address that says whether callers may come"),
-      Address("listen", "metrics", "address of the metrics"),
-      Address("listen", "peers", "address towards the other hosts"),
+               "are schedulers, the others forward to them"},
+      Address("listen", "callers", "address for requests of callers"),
+      Address("listen", "ready", "address for readiness checks"),
+      Address("listen", "metrics", "address for metrics requests"),
+      Address("listen", "peers", "address for links from other hosts"),
       Address("store", "address", "the platform's key-value service"),
-      Length("store", "timeout", "1500ms", 10, "for one call"),
+      Length("store", "timeout", "1500ms", 10, "timeout of one call"),
       Address("duties", "address", "the platform's usage and scaling calls"),
       Length("duties", "lease", "3s", kLeastLease,
-             "of the host that has the duties"),
+             "length of the lease on the duties"),
       Length("duties", "usage_window", "5s", kLeastLength,
-             "that one usage report covers"),
+             "period that one usage report covers"),
       Length("duties", "usage_late", "10s", kLeastLength,
-             "after a window's end, until its report is due"),
+             "time from a window's end until its report is due"),
       Length("stop", "grace", "8s", kLeastLength,
-             "from the stop signal to the kill"),
+             "time from the stop signal to the kill"),
       Length("keys", "revoke_within", "5s", kLeastLength,
              "how soon a revoked key must stop working"),
       {.section = "keys",
@@ -111,43 +113,44 @@
       Length("fleet", "drain_within", "2s", kLeastLength,
              "how soon a leaving endpoint must get nothing new"),
       Length("retries", "window", "10s", kLeastLength,
-             "over which repeats are counted"),
+             "period over which retries are counted"),
       {.section = "retries",
        .key = "share",
        .type = SettingType::kShare,
        .fallback = "0.2",
-       .help = "repeats for each request"},
+       .help = "retries allowed per request"},
       {.section = "retries",
        .key = "slack",
        .type = SettingType::kShare,
        .fallback = "48",
-       .help = "repeats beyond that in each window, of all hosts together"},
+       .help = "additional retries per window, of all hosts together"},
       {.section = "fleet",
        .key = "prompt_tokens_per_second",
        .type = SettingType::kInteger,
        .fallback = "37900",
        .minimum = 1,
        .maximum = int64_t{1} << 40,
-       .help = "an engine's reading rate in the prefill role, until it is "
+       .help = "prefill rate of an engine in the prefill role, until it is "
                "measured"},
       Length("limits", "window", "8s", kLeastLength,
-             "over which the use of a client account's limit is judged"),
+             "period over which a client account's limit is enforced"),
       {.section = "limits",
        .key = "overage",
        .type = SettingType::kShare,
        .fallback = "0",
-       .help = "part of a limit that a window may exceed it by"},
+       .help = "share of a limit by which a window may exceed it"},
       {.section = "limits",
        .key = "slack",
        .type = SettingType::kShare,
        .fallback = "0",
-       .help = "tokens or requests that a window may exceed it by besides"},
+       .help =
+           "tokens or requests by which a window may exceed it in addition"},
       {.section = "log",
        .key = "level",
        .type = SettingType::kChoice,
        .fallback = "info",
        .choices = {"debug", "info", "warning", "error"},
-       .help = "least level that is written"},
+       .help = "lowest level that is logged"},
   };
 }
 
@@ -174,8 +177,8 @@
   return {.poll = poll, .ask_peers_after = poll * kReadsBeforePeers};
 }
 
-// A setting that a running host can't change: others know the host by it, or
-// what it holds was agreed under it.
+// A setting that can't change while the host runs, because other hosts know the
+// host by it, or because leases and counts that it holds depend on it.
 struct FixedSetting {
   std::string_view name;
   bool (*differs)(const RelayHostSettings&, const RelayHostSettings&);
@@ -186,7 +189,8 @@
   return one.*Member != other.*Member;
 }
 
-// The guessed reading rate: by the time that it changes, rates are learned.
+// The initial prefill rate. A change has no effect on a running host, which has
+// measured the rate by then.
 bool GuessDiffers(const RelayHostSettings& one,
                   const RelayHostSettings& other) {
   return one.relay.placement.pace != other.relay.placement.pace;
@@ -223,7 +227,7 @@
   const auto address = [&from](std::string_view section, std::string_view key) {
     return *ParseAddress(from->Text(section, key));
   };
-  RelayHostSettings made{
+  RelayHostSettings settings{
       .host = HostId(from->Text("relay", "id")),
       .zone = ZoneId(from->Text("relay", "zone")),
       .callers = address("listen", "callers"),
@@ -246,8 +250,8 @@
                  .overage = from->Share("limits", "overage"),
                  .slack = from->Share("limits", "slack")},
       .source = ReadSource(*from)};
-  ParseLogLevel(from->Text("log", "level"), made.log_level);
-  return made;
+  ParseLogLevel(from->Text("log", "level"), settings.log_level);
+  return settings;
 }
 
 std::vector<std::string_view> NeedRestart(const RelayHostSettings& before,
