--- a/packages/peers/frame.cc
+++ b/packages/peers/frame.cc
@@ -36,8 +36,8 @@
   return digest;
 }
 
-// Compares in a time that doesn't tell where the first difference is, or a
-// sender without the secret could find a tag byte by byte.
+// Constant-time comparison. If the time depended on the position of the first
+// difference, a sender without the secret could find a tag byte by byte.
 bool SameBytes(std::string_view a, std::string_view b) {
   if (a.size() != b.size()) {
     return false;
@@ -59,7 +59,8 @@
 std::string SealFrame(std::string_view key,
                       std::string_view context,
                       std::string_view payload) {
-  assert(payload.size() <= kMaxFrame - kTagBytes && "split the message");
+  assert(payload.size() <= kMaxFrame - kTagBytes &&
+         "payload exceeds the frame limit");
   std::string frame;
   frame.reserve(kLengthBytes + kTagBytes + payload.size());
   AppendBigEndian(frame, kTagBytes + payload.size(), kLengthBytes);
@@ -72,13 +73,15 @@
                                    std::string_view context,
                                    std::string_view body) {
   if (body.size() < kTagBytes) {
-    return Fail(ErrorKind::kUnauthenticated, "frame without a tag");
+    return Fail(ErrorKind::kUnauthenticated,
+                "frame shorter than its authentication tag");
   }
   const auto payload = body.substr(kTagBytes);
   const std::string expected = Tag(key, context, payload);
   if (!SameBytes(body.substr(0, kTagBytes),
                  std::string_view(expected).substr(0, kTagBytes))) {
-    return Fail(ErrorKind::kUnauthenticated, "frame with a wrong tag");
+    return Fail(ErrorKind::kUnauthenticated,
+                "authentication tag does not match");
   }
   return payload;
 }
@@ -108,10 +111,11 @@
     length = (length << kBitsPerByte) | static_cast<unsigned char>(byte);
   }
   if (length > this->limit) {
-    return Fail(ErrorKind::kTooLarge, "frame over its limit");
+    return Fail(ErrorKind::kTooLarge, "frame length exceeds the limit");
   }
   if (length <= kTagBytes) {
-    return Fail(ErrorKind::kBadRequest, "frame too short for its tag");
+    return Fail(ErrorKind::kBadRequest,
+                "frame length leaves no room for a payload");
   }
   if (rest.size() < kLengthBytes + length) {
     this->buffer.erase(0, this->taken);
--- a/packages/peers/frame.h
+++ b/packages/peers/frame.h
@@ -1,18 +1,24 @@
-// Frames: how messages stand in a TCP stream, and how a receiver knows that
-// they come from a host of this fleet.
+// Framing and authentication of the messages between hosts on a TCP stream.
 //
 //   length (4 bytes, big-endian, of what follows) | tag (16) | payload
 //
-// A session opens with a Hello from each side, tagged with the fleet secret.
-// The session's key is drawn from the secret and both Hellos, which name each
-// sender with its incarnation and carry a fresh nonce each. Every later frame
-// is tagged under that key with its direction and sequence number, neither of
-// which is sent.
+// A session starts with a Hello from each side, authenticated with the fleet
+// secret. The session key is derived from the secret and both Hellos. Each
+// Hello holds its sender's id and incarnation and a fresh nonce. The tag of
+// every later frame is computed with that key over the direction, the sequence
+// number and the payload; direction and sequence number are not transmitted.
 //
-// A recorded frame that is played back, to the same host or another, is thus
-// tagged for a session that no longer exists or for a sequence number that has
-// passed. Remembering the highest number seen would not be enough: a host that
-// has just been replaced remembers nothing.
+// This prevents replay: a recorded frame that is sent again, to the same host
+// or another, has the tag of a session that no longer exists or of a sequence
+// number that was already used. Storing the highest sequence number received
+// would not be enough, because a host that was just replaced has lost it.
+//
+//   const std::string frame =
+//       SealFrame(key, FrameContext(from_dialler, sequence), payload);
+//
+//   reader.Feed(bytes);                                // as read
+//   const auto body = reader.Next();                   // empty: incomplete
+//   const auto payload = OpenFrame(key, context, *body);
 
 #pragma once
 
@@ -26,59 +32,65 @@
 
 namespace hickorystand {
 
-// RFC 2104 allows half of HMAC-SHA256; the other half would cost a tenth of
-// the control traffic.
+// RFC 2104 allows truncating HMAC-SHA256 to half its length. Sending the other
+// half would add a tenth to the control traffic.
 inline constexpr size_t kTagBytes = 16;
 inline constexpr size_t kNonceBytes = 16;
 inline constexpr size_t kLengthBytes = 4;
 
-// Largest frame before and after the sender has proved that it knows the
-// secret. The second holds one value of the key-value service.
+// Largest frame body in bytes: until the sender is authenticated, and
+// afterwards. The latter is large enough for one value of the key-value
+// service.
 inline constexpr size_t kMaxHelloFrame = 1024;
 inline constexpr size_t kMaxFrame = 1536UL * 1024;
 
-// HMAC-SHA256, in full.
+// Returns the untruncated HMAC-SHA256 of `bytes`.
 std::string Authenticate(std::string_view key, std::string_view bytes);
 
-// A frame ready to be written.
+// Returns a complete frame: length, tag and payload. The tag also covers
+// `context`, which is not part of the frame. The payload must fit into
+// kMaxFrame together with its tag.
 std::string SealFrame(std::string_view key,
                       std::string_view context,
                       std::string_view payload);
 
-// The payload of a frame's body, or kUnauthenticated. The view points into
-// `body`.
+// Verifies the tag of a frame body and returns the payload, or
+// kUnauthenticated. The view points into `body`.
 Result<std::string_view> OpenFrame(std::string_view key,
                                    std::string_view context,
                                    std::string_view body);
 
-// What a data frame's tag covers besides its payload.
+// Returns the context of a frame that follows the Hellos: its direction and
+// sequence number.
 std::string FrameContext(bool from_dialler, uint64_t sequence);
 
-// Random bytes that are never used twice.
+// Returns kNonceBytes random bytes, different on every call.
 std::string MakeNonce();
 
-// Cuts a stream of bytes into frame bodies.
+// Splits a byte stream into frame bodies (tag and payload). Frames longer than
+// the limit, in bytes, are an error.
 class FrameReader {
  public:
   explicit FrameReader(size_t limit) : limit(limit) {}
 
-  // Allows larger frames from now on.
+  // Sets the limit for the frames that follow. Called once the sender is
+  // authenticated.
   void SetLimit(size_t bytes) { this->limit = bytes; }
 
-  // Takes what was read from the stream.
+  // Appends bytes that were read from the stream.
   void Feed(std::string_view bytes) { this->buffer.append(bytes); }
 
-  // The next body: empty if more bytes are needed; kTooLarge or kBadRequest if
-  // the stream can't be understood, after which it must be closed.
+  // Returns the next body, or an empty string if more bytes are needed. After
+  // kTooLarge or kBadRequest the stream is corrupt and must be closed.
   Result<std::string> Next();
 
-  // Bytes held back because their frame isn't complete.
+  // Bytes that were fed but not yet returned by Next().
   size_t Buffered() const { return this->buffer.size() - this->taken; }
 
  private:
   size_t limit;
   std::string buffer;
-  size_t taken = 0;  // bytes of `buffer` that were handed out
+  size_t taken = 0;  // bytes of `buffer` already returned by Next()
 };
 
 }  // namespace hickorystand
--- a/packages/peers/message.h
+++ b/packages/peers/message.h
@@ -1,4 +1,20 @@
-// What entry hosts send each other, as the rest of the program sees it.
+// The messages that hosts send each other, in the form that the rest of the
+// program uses. peers/wire.h encodes and decodes them.
+//
+// Index
+//   BucketsRequest, Bucket, BucketsReply   the configuration
+//   FreshnessQuestion, FreshnessAnswer     proof that a configuration is
+//   current UsageCopyMessage, Released             usage counters and leases
+//   ForwardedRequest, ForwardedBody        a caller's request on its way from
+//   ForwardControl                         the ingress host to a scheduler
+//   AnswerEnd, ForwardedHead, ForwardedAnswer   the response on its way back
+//   SchedulerNews                          the state of a scheduler
+//   PaceMessage, CacheUpdate, PrefillLoad  the speed, prefix cache and load of
+//                                          engines
+//   LimitTokens                            client accounts' rate limits
+//   PeerMessage                            any of these, or an EndpointNews
+//
+//   links.Send(host, BucketsRequest{.above_revision = 7});
 
 #pragma once
 
@@ -19,24 +35,24 @@
 
 namespace hickorystand {
 
-// Asks for the configuration's buckets that changed above a revision.
+// Requests the buckets of the configuration that changed after a revision.
 struct BucketsRequest {
   int64_t above_revision = 0;
 
   bool operator==(const BucketsRequest&) const = default;
 };
 
-// One bucket of the configuration, as it stands in the key-value service.
+// One bucket of the configuration, as stored in the key-value service.
 struct Bucket {
   std::string name;
-  int64_t revision = 0;  // the head revision at which it last changed
+  int64_t revision = 0;  // head revision of its last change
   std::string value;
 
   bool operator==(const Bucket&) const = default;
 };
 
-// The buckets asked for. A long answer is sent as several replies, each with
-// the same head revision.
+// The requested buckets. A long reply is split into several messages, each
+// with the same head revision.
 struct BucketsReply {
   int64_t head_revision = 0;
   std::vector<Bucket> buckets;
@@ -44,18 +60,19 @@
   bool operator==(const BucketsReply&) const = default;
 };
 
-// A copy of a host's usage counters, kept by a peer in case the host is lost.
+// A copy of a host's usage counters, which a peer stores in case the host is
+// lost.
 struct UsageCopyMessage {
   HostId host;
   uint64_t incarnation = 0;
   std::string value;
-  std::optional<int64_t> time;  // the sender's, Unix milliseconds
+  std::optional<int64_t> time;  // sender's clock, Unix milliseconds
 
   bool operator==(const UsageCopyMessage&) const = default;
 };
 
-// The sender held a data centre's lease with this fencing number and has let
-// go: none of its orders will leave any more.
+// The sender has released a data centre's lease, which it held with this
+// fencing number, and will send no further orders under it.
 struct Released {
   DataCentreId data_centre;
   uint64_t incarnation = 0;  // of the sender's process
@@ -64,46 +81,49 @@
   bool operator==(const Released&) const = default;
 };
 
-// Asks for proof that the configuration record of a revision is the newest.
+// Requests proof that the configuration record of a revision is the newest.
 struct FreshnessQuestion {
-  int64_t number = 0;  // chosen by the asking host
+  int64_t number = 0;  // request id, chosen by the requesting host
   int64_t revision = 0;
 
   auto operator<=>(const FreshnessQuestion&) const = default;
 };
 
-// The answer to it: a record, and how long ago it was the newest for certain
-// when the answer was made.
+// The reply to a FreshnessQuestion: a record, and the time between the moment
+// when it was last verified to be the newest and the moment of the reply.
 struct FreshnessAnswer {
-  int64_t number = 0;  // of the question
+  int64_t number = 0;  // that of the FreshnessQuestion
   int64_t revision = 0;
   Duration age{};
-  std::string record;  // empty: the asking host has it
+  std::string record;  // empty: the requesting host already has it
 
   bool operator==(const FreshnessAnswer&) const = default;
 };
 
-// What the sender has learned of engines, for hosts that have just started.
+// The engine speeds that the sender has measured, for hosts that have just
+// started.
 struct PaceMessage {
   std::map<ServiceId, PaceFigures> services;
 
   bool operator==(const PaceMessage&) const = default;
 };
 
-// A caller's request that the host which read it hands to a scheduler.
+// A caller's request, forwarded to a scheduler by the ingress host that
+// received it.
 struct ForwardedRequest {
-  int64_t number = 0;  // chosen by the sending process, never used twice
+  int64_t number = 0;  // request id, unique within the sending process
   std::string method;
   std::string target;
   HttpHeaders headers;
-  std::string body;          // its beginning
-  uint64_t body_length = 0;  // the rest follows as ForwardedBody
-  Duration age{};            // since the request was read
-  // Runs that may have been started by schedulers that were lost.
+  std::string body;          // the first part
+  uint64_t body_length = 0;  // whole body; the rest follows as ForwardedBody
+  Duration age{};            // since the request was received
+  // How many times the request was sent to schedulers that were then lost;
+  // each of them may have run it.
   int64_t earlier_sends = 0;
-  std::optional<int64_t> resume_after;  // the last event that the caller has
-  bool stream_begun = false;            // the caller has the answer's head
-  // Time until the sending process ends; nullopt: it isn't stopping.
+  std::optional<int64_t> resume_after;  // last event the caller received
+  bool stream_begun = false;  // the response head was sent to the caller
+  // Time until the sending process exits; nullopt: it isn't stopping.
   std::optional<Duration> finish_within;
 
   bool operator==(const ForwardedRequest&) const = default;
@@ -117,32 +137,35 @@
   bool operator==(const ForwardedBody&) const = default;
 };
 
-// Whether an answer goes on.
+// Whether a part of a response is the last one: more follows, the response is
+// complete, or it was aborted.
 enum class AnswerEnd { kMore, kWhole, kBroken };
 
-// The head of an answer.
+// The head of a response.
 struct ForwardedHead {
   int status = 200;
   HttpHeaders headers;
-  std::optional<uint64_t> length;  // unknown: until the end
+  // Body length in bytes; nullopt: not known in advance.
+  std::optional<uint64_t> length;
 
   bool operator==(const ForwardedHead&) const = default;
 };
 
-// The next part of the answer to a forwarded request.
+// The next part of the response to a forwarded request.
 struct ForwardedAnswer {
   int64_t number = 0;
   std::optional<ForwardedHead> head;
   std::string bytes;
   AnswerEnd end = AnswerEnd::kMore;
-  // The request hasn't run at the sender and won't, but another scheduler may
-  // take it. The answer is for the caller if none does.
+  // The sender has not run the request and will not, but another scheduler may
+  // accept it. If none does, this response goes to the caller.
   bool declined = false;
 
   bool operator==(const ForwardedAnswer&) const = default;
 };
 
-// What the host that has the caller asks of the scheduler.
+// A command of the ingress host, which holds the caller's connection, to the
+// scheduler that runs the request.
 enum class ForwardAction { kCancel, kPause, kResume };
 
 struct ForwardControl {
@@ -152,49 +175,51 @@
   auto operator<=>(const ForwardControl&) const = default;
 };
 
-// What a scheduler, and any host that drains, tells every linked host.
+// The state of the sender, which schedulers and all draining hosts send to
+// every linked host.
 struct SchedulerNews {
-  bool scheduler = false;  // it still is one
-  bool busy = false;       // it doesn't keep up with its work
+  bool scheduler = false;  // the sender still has the scheduler role
+  bool busy = false;       // overloaded
   bool ready = false;
-  bool keys_proven = false;  // API keys can be trusted now
+  bool keys_proven = false;  // its list of API keys is proven current
   int64_t configuration_version = 0;
-  int64_t head_bytes = 0;  // bounds on what callers may send
+  int64_t head_bytes = 0;  // these four: limits on callers' requests
   int64_t body_bytes = 0;
   Duration head_timeout{};
   Duration idle_timeout{};
-  bool draining = false;     // its process ends within the grace time
-  bool last_resort = false;  // not ready, but takes what nobody else can
+  bool draining = false;     // its process exits within the grace period
+  bool last_resort = false;  // not ready, but accepts what no other host can
 
   auto operator<=>(const SchedulerNews&) const = default;
 };
 
-// What an engine keeps of prompts has changed.
+// A change in the contents of an engine's prefix cache.
 struct CacheUpdate {
   EndpointRun engine;
-  bool reset = false;             // nothing else is kept
-  std::vector<PartTokens> parts;  // no tokens: not kept any more
+  bool reset = false;             // `parts` is all that the cache holds
+  std::vector<PartTokens> parts;  // 0 tokens: evicted
 
   bool operator==(const CacheUpdate&) const = default;
 };
 
-// Prompt tokens a second that the sender's requests ask engines to prefill.
+// Prefill load, in prompt tokens per second, of the sender's requests.
 struct PrefillLoad {
   std::map<ServiceId, double> tokens_per_second;
 
   bool operator==(const PrefillLoad&) const = default;
 };
 
-// Parts of client accounts' limits that change hands between schedulers.
+// Requests for and grants of client accounts' rate-limit tokens, exchanged by
+// schedulers.
 struct LimitTokens {
-  int64_t revision = 0;  // of the newest record of share holders read
+  int64_t revision = 0;  // of the newest share holder record read
   std::vector<TokenWant> wants;
   std::vector<TokenGrant> grants;
 
   bool operator==(const LimitTokens&) const = default;
 };
 
-// Everything but digests, which PeerLinks sends and takes as whole values.
+// Any message except digests, which PeerLinks encodes as deltas.
 using PeerMessage = std::variant<BucketsRequest,
                                  BucketsReply,
                                  UsageCopyMessage,
