--- a/packages/peers/message.h
+++ b/packages/peers/message.h
@@ -145,7 +145,7 @@
 struct ForwardedHead {
   int status = 200;
   HttpHeaders headers;
-  // Body length in bytes; nullopt: not known in advance.
+  // Body length in bytes; nullopt: unknown, the body ends with the last part.
   std::optional<uint64_t> length;
 
   bool operator==(const ForwardedHead&) const = default;
--- a/packages/peers/peer_group.cc
+++ b/packages/peers/peer_group.cc
@@ -7,7 +7,8 @@
 namespace hickorystand {
 namespace {
 
-// Under this prefix a representative's id stands for all other data centres.
+// Prefixed to a representative's id, identifies the digest of all other data
+// centres that this representative sends.
 constexpr const char* kElsewherePrefix = "elsewhere/";
 
 MembershipOptions MakeMembershipOptions(const PeerGroupOptions& options) {
@@ -69,8 +70,9 @@
   if (heard != Heard::kCurrent) {
     return;
   }
-  // A representative's summaries hold what leaves, and mustn't take back what
-  // its own digest says is down.
+  // A representative's summaries list only leaving endpoints. They are recorded
+  // under an id of their own, or they would clear the endpoints that the
+  // representative's own digest reports as down.
   this->board.OnNews(scope == DigestScope::kHost
                          ? digest.host
                          : HostId(kElsewherePrefix + digest.host.Text()),
@@ -98,9 +100,9 @@
   }
 }
 
-// Hands on what other data centres do. Two representatives may both believe
-// to be the first for a while; counting both would count all distant work
-// twice, so only the last one heard counts.
+// Delivers the digest of all other data centres. For a while two
+// representatives may both act as the first one. Using both digests would count
+// all remote work twice, so only the last one received is used.
 void PeerGroup::OnElsewhere(Digest digest, const HostId& from) {
   const HostId id(kElsewherePrefix + from.Text());
   if (id != this->elsewhere && !this->elsewhere.Empty() &&
@@ -108,8 +110,8 @@
     this->handlers.on_gone(this->elsewhere);
   }
   this->elsewhere = id;
-  // No host says this: it has neither a data centre nor a configuration, and
-  // nothing can be asked of it.
+  // The id belongs to no host: it has neither a data centre nor a configuration
+  // revision, and no request may be sent to it.
   digest.host = id;
   digest.data_centre = DataCentreId();
   digest.configuration_revision = 0;
@@ -156,7 +158,7 @@
   digest.incarnation = session.incarnation;
   this->board.OnNews(session.host, digest.endpoints);
   this->links.SendDigest(DigestScope::kHost, digest);
-  // The summary of this data centre counts this host like any other.
+  // The summary of this data centre includes this host like any other.
   digest.sequence = ++this->elsewhere_sequence;
   this->near.OnDigest(digest);
   if (this->Now() >= this->next_summary) {
@@ -171,7 +173,8 @@
   this->board.Keep({ids.begin(), ids.end()});
 }
 
-// Drops what is under way at endpoints of this data centre, or of the others.
+// Keeps only the outstanding work at endpoints of this data centre (`here`), or
+// only that at endpoints of the others. Unknown endpoints stay in both cases.
 void PeerGroup::KeepOutstanding(Digest& digest, bool here) const {
   std::erase_if(digest.outstanding, [&](const EndpointOutstanding& entry) {
     const auto found = this->endpoints.find(entry.endpoint);
@@ -188,8 +191,8 @@
   if (rank == kNoRank) {
     return;
   }
-  // What leaves is a fact about an endpoint's incarnation, so repeating it to
-  // those who said it first does no harm.
+  // Leaving is a property of an endpoint's incarnation, so sending it back to
+  // the host that first reported it is harmless.
   Digest own =
       this->near.Make(session.host, session.data_centre, session.incarnation);
   this->KeepOutstanding(own, false);
--- a/packages/peers/peer_group.h
+++ b/packages/peers/peer_group.h
@@ -1,15 +1,21 @@
-// An entry host's place among all the others: links, membership, what is known
-// of endpoints, and the summaries between data centres, put together.
+// Connects a host to all others: combines the links, the membership, the
+// endpoint status table and the summaries exchanged between data centres.
 //
 //   PeerGroup group(options, handlers);      // on the task that uses it
 //   group.Listen();
 //   group.OnHostList(list);                  // whenever it was read
 //   group.SendDigest(digest);                // every NextDigestDelay()
 //
-// Within a data centre every host sends its digest to every other. The two
-// representatives also send a summary of their data centre to those of the
-// others; the first of them passes on, as one digest, what all other data
-// centres said. So a host learns of distant work without a link to it.
+// Within a data centre every host sends its digest to every other host. The
+// two representatives of a data centre also send a summary of it to the
+// representatives of the others. The first representative merges the summaries
+// received from all other data centres into one digest and sends it to the
+// hosts of its own, so that a host has the load of other data centres without
+// a link to them.
+//
+// Index
+//   PeerGroupOptions, PeerGroupHandlers
+//   PeerGroup
 
 #pragma once
 
@@ -26,67 +32,79 @@
 
 namespace hickorystand {
 
-// How a PeerGroup is made. The host's id, data centre and incarnation are
-// those of `links.session`.
+// Configuration of a PeerGroup. The host's id, data centre and incarnation are
+// those in `links.session`.
 struct PeerGroupOptions {
   PeerLinksOptions links;
+  // Time without a message after which a host is suspected, and after which it
+  // is considered gone.
   Duration suspect_after = std::chrono::seconds(4);
   Duration gone_after = std::chrono::seconds(15);
-  // Between summaries to other data centres. What they say is passed on to the
-  // hosts here half as often: that costs a representative the most. News of
-  // leaving endpoints doesn't wait for either.
+  // Time between summaries to other data centres. Those received from them are
+  // forwarded within this data centre half as often, since that is a
+  // representative's largest cost. When the set of leaving endpoints changes,
+  // both are sent at once.
   Duration summary_period = std::chrono::seconds(5);
 };
 
-// Whom the group tells what.
+// Callbacks of a PeerGroup, called on its task. All are optional.
 struct PeerGroupHandlers {
-  // A newer digest: of a host of this data centre, or of all that is elsewhere
-  // under an id that no host bears. For Dispatcher::OnDigest().
+  // A newer digest: of a host of this data centre, or of all other data centres
+  // together, under an id that belongs to no host. For Dispatcher::OnDigest().
   std::function<void(const Digest&)> on_digest;
-  // The configuration's revision at a linked host, in this data centre or
-  // another: a data centre cut off from the platform learns of changes so.
+  // The configuration revision of a linked host, in this data centre or
+  // another. A data centre without a connection to the platform detects
+  // changes this way.
   std::function<void(const HostId&, int64_t revision)> on_revision;
-  // What that id sent no longer counts. For Dispatcher::OnHostGone().
+  // The digest under this id is no longer valid. For the dispatcher's handler
+  // of lost hosts.
   std::function<void(const HostId&)> on_gone;
   // Any other message.
   std::function<void(const HostId&, const PeerMessage&)> on_message;
 };
 
+// One host's membership in the group of all hosts. Belongs to one task, like
+// its PeerLinks.
 class PeerGroup {
  public:
   PeerGroup(const PeerGroupOptions& options, PeerGroupHandlers handlers);
 
-  // Starts to accept connections; answers the address with its port.
+  // Starts to accept connections. Returns the address with the bound port, or
+  // kBadSetting if it can't be used.
   Result<SocketAddress> Listen() { return this->links.Listen(); }
 
-  // The platform's host list, as read now.
+  // Applies the platform's host list, as just read.
   void OnHostList(const std::vector<ListedHost>& list);
 
-  // This host's state, to be sent to all whom it concerns. Host, data centre
-  // and incarnation are filled in here.
+  // Sends this host's state to the hosts of its data centre and, when a summary
+  // is due, the summaries. Sets the digest's host, data centre and incarnation.
   void SendDigest(Digest digest);
   Duration NextDigestDelay() const { return this->links.NextDigestDelay(); }
 
-  // Tells all hosts of this data centre at once that an endpoint leaves or is
-  // down, and the others through the representatives.
+  // Sends to all linked hosts at once, ahead of the next digest, that an
+  // endpoint is leaving or down. Other data centres receive it through the
+  // representatives.
   void Announce(const EndpointNews& news);
 
-  // This host had an answer from an endpoint.
+  // Records that this host received a response from an endpoint.
   void OnAlive(const EndpointId& endpoint, uint64_t incarnation) {
     this->board.OnAlive(endpoint, incarnation);
   }
 
-  // Whether new work must stay away from an endpoint.
+  // Whether an endpoint must get no new work: it is leaving or down.
   bool Out(const EndpointId& endpoint) const {
     return this->board.Out(endpoint);
   }
 
-  // A new configuration: the endpoints with their data centres. News of others
-  // is forgotten. Work under way at an endpoint is told across data centres
-  // only when it was sent across, since others have no use for it.
+  // Applies a new configuration: the endpoints with their data centres. The
+  // status of endpoints that are not in it is dropped. Summaries to other data
+  // centres contain the outstanding work at an endpoint only if the endpoint is
+  // in another data centre than the host that sent it, since no other data
+  // centre needs the rest.
   void SetEndpoints(std::map<EndpointId, DataCentreId> endpoints);
 
-  // Sends a message to one host, or to all linked ones.
+  // Sends a message to one host (false if it could not be queued) or to all
+  // linked hosts (returns to how many).
   bool Send(const HostId& host, const PeerMessage& message) {
     return this->links.Send(host, message);
   }
@@ -94,10 +112,11 @@
     return this->links.Broadcast(message);
   }
 
-  // This host leaves: it is entrusted with nothing more, and says so in its
-  // next digests.
+  // Marks this host as leaving, so that it gets no further roles. Its next
+  // digests report that.
   void StartDrain();
 
+  // State of the other hosts and this host's roles; see Membership.
   std::vector<Member> Members() {
     return this->membership.Members(this->Now());
   }
@@ -111,7 +130,7 @@
   }
   bool Superseded() const { return this->membership.Superseded(); }
 
-  // The last digest of each host of this data centre, by id.
+  // The last digest of each linked host of this data centre, by id.
   const std::map<HostId, Digest>& Digests() const { return this->digests; }
 
   PeerLinks& Links() { return this->links; }
@@ -132,14 +151,14 @@
   Membership membership;
   EndpointBoard board;
   std::map<EndpointId, DataCentreId> endpoints;
-  DigestSummary near;  // of the hosts of this data centre
-  DigestSummary far;   // of the other data centres
+  DigestSummary near;  // the hosts of this data centre
+  DigestSummary far;   // the other data centres
   std::map<HostId, Digest> digests;
-  HostId elsewhere;  // the id under which distant work is told at present
+  HostId elsewhere;  // id of the current digest of all other data centres
   uint64_t elsewhere_sequence = 0;
   Instant next_summary{};
-  uint64_t summaries = 0;             // sent so far
-  std::vector<EndpointNews> leaving;  // known to leave, as last passed on
+  uint64_t summaries = 0;             // number sent
+  std::vector<EndpointNews> leaving;  // leaving endpoints as last sent
   PeerLinks links;
 };
 
--- a/packages/peers/peer_links.cc
+++ b/packages/peers/peer_links.cc
@@ -11,30 +11,31 @@
 
 constexpr std::string_view kPart = "peers";
 
-// Accepted connections that haven't proved themselves. Beyond this many the
-// oldest is closed: strangers who connect and say nothing can't use up the
-// sockets of a host.
+// Limit on accepted connections that are not authenticated. Beyond it the
+// oldest is closed, so that clients which connect and send nothing can't
+// exhaust the host's sockets.
 constexpr size_t kMaxPending = 64;
 constexpr int kListenBacklog = 128;
 
-// Hosts that called without standing in the host list.
+// Limit on links from hosts that are not in the host list.
 constexpr size_t kMaxUnlisted = 512;
 
-// A receiver with more than this waiting is sent no digest. Skipping beats
-// queueing, because the next delta covers all that was skipped.
+// Digests are skipped for a receiver with more bytes than this queued. Queueing
+// them has no benefit, because the next delta covers all that was skipped.
 constexpr size_t kMaxDigestBacklog = 64UL * 1024;
 
+// Number of digests received for each acknowledgement sent.
 constexpr uint64_t kAckEvery = 8;
 
-// What a frame costs besides its bytes: the headers of its packet (IPv4, TCP
-// with time stamps) and of the packet that acknowledges it.
+// Overhead of a frame: the headers of its packet (IPv4, TCP with timestamps)
+// and of the packet that acknowledges it.
 constexpr uint64_t kPacketBytes = 104;
 
-// Largest part of a reply with buckets that goes into one frame, unless one
-// bucket alone is larger.
+// Largest part of a BucketsReply, in bytes, that is sent in one frame, unless a
+// single bucket is larger.
 constexpr size_t kMaxReplyPart = 256UL * 1024;
 
-// A reply cut into parts that fit into frames.
+// Splits a reply into parts that fit into frames.
 std::vector<BucketsReply> Split(const BucketsReply& reply) {
   std::vector<BucketsReply> parts(1, {.head_revision = reply.head_revision});
   size_t bytes = 0;
@@ -117,7 +118,8 @@
   }
   if (this->pending.size() >= kMaxPending) {
     this->pending.front()->Close(
-        {.kind = ErrorKind::kOverloaded, .message = "too many strangers"});
+        {.kind = ErrorKind::kOverloaded,
+         .message = "too many unauthenticated connections"});
   }
   this->pending.push_back(PeerSession::Accept(
       this->options.session, this->SessionHandlers(), this->Now(), socket));
@@ -163,7 +165,7 @@
     }
     if (link.session != nullptr) {
       link.session->Close({.kind = ErrorKind::kNotFound,
-                           .message = "no longer in the host list"});
+                           .message = "host removed from the host list"});
     }
     this->ForgetHost(id);
   }
@@ -186,8 +188,8 @@
   this->Tick();
 }
 
-// Sessions are destroyed here and not when they close, because they close
-// inside their own callbacks.
+// Closed sessions are destroyed here rather than on closing, because a session
+// may close during one of its own callbacks.
 void PeerLinks::Tick() {
   this->closed.clear();
   const Instant now = this->Now();
@@ -208,7 +210,7 @@
 }
 
 void PeerLinks::Dial(Link& link) {
-  assert(link.backoff.has_value());  // made when the host was listed
+  assert(link.backoff.has_value());  // set when the host was listed
   link.next_dial = this->Now() + link.backoff->Next();
   auto session =
       PeerSession::Dial(this->options.session, this->SessionHandlers(),
@@ -244,13 +246,14 @@
   return found == this->links.end() ? nullptr : &found->second;
 }
 
-// Makes a proved session the link's own. The newest one wins: the other side
-// called again because it no longer receives on the old one.
+// Makes an authenticated session the link's session. The newest one replaces
+// the others: the peer connected again because it no longer receives on the old
+// one.
 void PeerLinks::Adopt(Link& link, std::unique_ptr<PeerSession> session) {
   if (link.session != nullptr) {
     auto old = std::move(link.session);
     old->Close(
-        {.kind = ErrorKind::kStale, .message = "replaced by a newer one"});
+        {.kind = ErrorKind::kStale, .message = "replaced by a newer session"});
     this->Bury(std::move(old));
   }
   link.session = std::move(session);
@@ -268,7 +271,8 @@
     if ((!known && static_cast<size_t>(unlisted) >= kMaxUnlisted) ||
         session.Peer().incarnation < seen) {
       session.Close({.kind = ErrorKind::kStale,
-                     .message = "an earlier incarnation, or too many hosts"});
+                     .message = "older incarnation of a linked host, or too "
+                                "many unlisted hosts"});
       this->Bury(std::move(accepted));
       return;
     }
@@ -402,7 +406,7 @@
 void PeerLinks::SendDigest(DigestScope scope, const Digest& digest) {
   assert(digest.host == this->options.session.host &&
          digest.incarnation == this->options.session.incarnation &&
-         "a host sends under its own name only");
+         "a digest must have this host's id and incarnation");
   if (scope == DigestScope::kHost) {
     const uint64_t bytes = this->BytesOnWire();
     this->round_bytes = bytes - std::exchange(this->round_start_bytes, bytes);
@@ -427,8 +431,9 @@
                     this->options.longest_period);
 }
 
-// Acks matter when a link breaks or something was lost, so they ride on one
-// digest in several.
+// Acknowledgements are needed only when a link breaks or a delta was lost, so
+// they are sent with one digest in kDigestsPerAck, and with the next one after
+// a gap.
 std::vector<ScopedAck> PeerLinks::DueAcks(Link& link) const {
   std::vector<ScopedAck> due;
   for (size_t scope = 0; scope < kDigestScopes; ++scope) {
--- a/packages/peers/peer_links.h
+++ b/packages/peers/peer_links.h
@@ -1,8 +1,8 @@
-// The links of one entry host to the others: who is connected, digests in both
-// directions, and the few other messages that hosts send each other.
+// The links of one host to its peers: connections, digests in both directions,
+// and the other messages that hosts send each other.
 //
-// A PeerLinks belongs to one task: it is made, used and destroyed there, and
-// nobody else touches its sockets. It calls its handlers on that task.
+// A PeerLinks belongs to one task: it is created, used and destroyed there, and
+// calls its handlers there.
 //
 //   PeerLinks links(options, handlers);
 //   links.Listen();
@@ -10,9 +10,15 @@
 //   links.SendDigest(scope, digest);     // every NextDigestDelay() or so
 //   links.Send(host, BucketsRequest{.above_revision = 7});
 //
-// Digests are handed over and delivered whole; on the wire only differences
-// travel (decisions/digest_delta.h). A peer that reads too slowly is sent no
-// digest until it has caught up, and then one that covers all it missed.
+// Callers pass and receive whole digests; only differences are transmitted
+// (decisions/digest_delta.h). A peer that reads too slowly gets no digest until
+// its backlog has shrunk, and then one delta that covers all it missed.
+//
+// Index
+//   PeerLinksOptions, PeerHandlers
+//   PeerStats   counters
+//   DelistedLinkPolicy
+//   PeerLinks
 
 #pragma once
 
@@ -42,40 +48,44 @@
 
 namespace hickorystand {
 
-// How links are made.
+// Configuration of a PeerLinks.
 struct PeerLinksOptions {
-  SessionOptions session;  // who this host is, its secrets, the timeouts
-  SocketAddress listen;    // port 0: any free one, see ListenAddress()
+  SessionOptions session;  // this host's identity, its secrets, the timeouts
+  SocketAddress listen;    // port 0: any free one; Listen() returns it
   const Clock* clock = nullptr;
+  // Period at which timeouts are checked and connections attempted.
   Duration tick = std::chrono::milliseconds(250);
-  // Between tries to connect: doubled from the first to the second, each time
-  // with jitter, so that hosts don't all call a restarted one at once.
+  // Exponential backoff between connection attempts: doubles from the first
+  // value up to the longest. The jitter keeps all hosts from connecting to a
+  // restarted one at the same time.
   Duration first_backoff = std::chrono::milliseconds(250);
   Duration longest_backoff = std::chrono::seconds(10);
-  // Of two hosts the one with the lower id calls; the other waits this long
-  // before it does so itself, in case the first doesn't know of it yet.
+  // Of two hosts the one with the lower id connects. The other waits this long
+  // and then connects itself, in case it is not yet in the first one's list.
   Duration dial_grace = std::chrono::milliseconds(1500);
-  uint64_t seed = 1;  // of the jitter
-  // What digests may cost, sent, with their packets. As much comes in, and
-  // configuration and distant summaries besides, so this is well below half of
-  // the 7 KB/s that a host may spend.
+  uint64_t seed = 1;  // for the jitter
+  // Budget for sent digests, including packet headers. The same volume is
+  // received, and configuration and the summaries of other data centres come in
+  // addition, so this is well below half of the 7 KB/s allowed per host.
   double budget_bytes_per_second = 2900;
+  // Bounds of the period between digests.
   Duration shortest_period = std::chrono::milliseconds(250);
   Duration longest_period = std::chrono::seconds(2);
-  // The linked hosts that this host's own digests go to; null: those of its
-  // data centre.
+  // Whether a linked host receives this host's own digests; null: all hosts of
+  // its data centre do.
   std::function<bool(const HostId&)> digests_to;
 };
 
-// Whom the links tell what.
+// Callbacks of a PeerLinks. All are optional.
 struct PeerHandlers {
-  // A newer digest of a linked host, or of those that it speaks for.
+  // A newer digest from a linked host: its own, or a summary that it sent.
   std::function<void(DigestScope, const Digest&)> on_digest;
   // Any other message.
   std::function<void(const HostId&, const PeerMessage&)> on_message;
-  // Anything at all came from a linked host. Frequent.
+  // Called for every message received from a linked host, digests and
+  // heartbeats included, so frequently.
   std::function<void(const PeerHello&)> on_heard;
-  // A link is up, with the incarnation at its other end; or it is down.
+  // A link was established, with the peer's incarnation; or it was lost.
   std::function<void(const HostId&, uint64_t incarnation)> on_up;
   std::function<void(const HostId&)> on_down;
 };
@@ -87,17 +97,18 @@
   uint64_t digests_received = 0;
   uint64_t digests_stale = 0;
   uint64_t digests_gap = 0;
-  uint64_t digests_skipped = 0;  // the receiver still had a backlog
+  uint64_t digests_skipped = 0;  // not sent because of the receiver's backlog
   uint64_t sends_refused = 0;    // no link, or its queue was full
   // Sessions closed, by reason. kUnauthenticated: wrong secret or replay;
-  // kTimeout: silent, unreachable or closed by the other side.
+  // kTimeout: silent, unreachable or closed by the peer.
   std::map<ErrorKind, uint64_t> closed;
 };
 
-// What becomes of links to hosts that are taken off the list.
+// Whether SetHosts() closes links to hosts that were removed from the list.
 enum class Delisted { kClose, kKeep };
 
-// All links of one host.
+// Maintains one host's links: accepts and dials connections, reconnects with
+// backoff, and sends and receives digests and messages.
 class PeerLinks {
  public:
   PeerLinks(PeerLinksOptions options, PeerHandlers handlers);
@@ -105,37 +116,38 @@
   PeerLinks(const PeerLinks&) = delete;
   PeerLinks& operator=(const PeerLinks&) = delete;
 
-  // Starts to accept connections; kBadSetting if the address is taken.
+  // Starts to accept connections. Returns the address with the bound port, or
+  // kBadSetting if it can't be used, for example because it is in use.
   Result<SocketAddress> Listen();
 
-  // When a silent link is given up, and how long this host waits for one that
-  // has to call it.
+  // Changes SessionOptions::silence_timeout and PeerLinksOptions::dial_grace.
   void SetPatience(Duration silence_timeout, Duration dial_grace);
 
-  // The hosts to be linked to. Links to hosts taken off the list are closed, or
-  // stay until the other side closes them or falls silent.
-  // A host that calls without standing in the list is taken all the same: the
-  // list lags, and whoever knows the fleet secret is a host of this fleet.
+  // Sets the hosts to be linked to. Links to hosts removed from the list are
+  // closed, or kept until the peer closes them or the silence timeout expires.
+  // Connections from hosts that are not in the list are accepted too: the list
+  // lags, and any host that knows the fleet secret belongs to this fleet.
   void SetHosts(const std::vector<PeerHost>& hosts,
                 Delisted delisted = Delisted::kClose);
 
-  // Sends a digest to the linked hosts that its scope is meant for: to those
-  // of other data centres for kDataCentre, else to those of this one. The host
-  // and incarnation must be those of the options; the sequence number is given
+  // Sends a digest to the linked hosts that receive its scope: those of other
+  // data centres for kDataCentre, else those of this one. Its host and
+  // incarnation must be those of the options; the sequence number is assigned
   // here.
   void SendDigest(DigestScope scope, const Digest& digest);
 
-  // How long to wait until the next digests: as short as the budget allows for
-  // the bytes that the last ones took.
+  // Delay until the next digests: the shortest that keeps the bytes sent
+  // between the last two within the budget.
   Duration NextDigestDelay() const;
 
-  // Sends a message; false if there is no link to the host or it is clogged.
+  // Sends a message; false if there is no link to the host or its queue is
+  // full.
   bool Send(const HostId& host, const PeerMessage& message);
 
   // Sends to all linked hosts; returns to how many.
   size_t Broadcast(const PeerMessage& message);
 
-  // The hosts that are linked now.
+  // The hosts with an established link.
   std::vector<HostId> Linked() const;
 
   PeerStats Stats() const;
@@ -143,13 +155,13 @@
  private:
   struct Link {
     PeerHost host;
-    bool listed = false;  // stands in the host list
+    bool listed = false;  // in the host list
     std::unique_ptr<PeerSession> session;
     bool up = false;
-    std::optional<Backoff> backoff;  // made with the link
+    std::optional<Backoff> backoff;  // set once the host is listed
     Instant next_dial{};
     std::array<DigestReceiver, kDigestScopes> received;
-    std::array<uint64_t, kDigestScopes> acked{};  // last sequence acked
+    std::array<uint64_t, kDigestScopes> acked{};  // sequence last acknowledged
   };
 
   Instant Now() const { return this->options.clock->Now(); }
@@ -179,10 +191,13 @@
   GSocket* listener = nullptr;
   GSource* acceptable = nullptr;
   std::map<HostId, Link> links;
-  std::vector<std::unique_ptr<PeerSession>> pending;  // accepted, not proved
-  std::vector<std::unique_ptr<PeerSession>> closed;   // to be destroyed
+  // Accepted but not authenticated, oldest first.
+  std::vector<std::unique_ptr<PeerSession>> pending;
+  std::vector<std::unique_ptr<PeerSession>> closed;  // destroyed by Tick()
   std::array<DigestSender, kDigestScopes> digests;
-  uint64_t round_start_bytes = 0;  // on the wire, when the last digest began
+  // BytesOnWire() at the last SendDigest() of this host's own digest, and the
+  // bytes sent between the last two of them.
+  uint64_t round_start_bytes = 0;
   uint64_t round_bytes = 0;
   PeerStats stats;
   std::unique_ptr<Timer> timer;
--- a/packages/peers/session.cc
+++ b/packages/peers/session.cc
@@ -12,11 +12,12 @@
 namespace {
 
 constexpr size_t kReadChunk = 16UL * 1024;
-// Bytes read in one turn of the loop, so that a peer that floods this host
-// can't keep the other sessions from their turn.
+// Limit on the bytes read per event loop iteration, so that a peer that floods
+// this host can't starve the other sessions.
 constexpr size_t kReadPerTurn = 64UL * 1024;
 
-// What a tag is made for; keeps a Hello from passing as an answer to itself.
+// Contexts covered by tags and prefix of the session key's input. They differ,
+// so that a Hello can't be sent back as the answer to itself.
 constexpr std::string_view kDiallerHello = "hello";
 constexpr std::string_view kAccepterHello = "answer:";
 constexpr std::string_view kSessionKey = "session:";
@@ -39,7 +40,7 @@
   }
 }
 
-// Takes a GError's text and frees it.
+// Returns a GError's message and frees the error.
 std::string TakeMessage(GError* error) {
   std::string text = error == nullptr ? "unknown" : error->message;
   g_clear_error(&error);
@@ -101,7 +102,8 @@
 void PeerSession::Connect(const SocketAddress& address) {
   GSocket* made = NewSocket(address);
   if (made == nullptr) {
-    this->Close({.kind = ErrorKind::kInternal, .message = "no socket"});
+    this->Close(
+        {.kind = ErrorKind::kInternal, .message = "can't create a socket"});
     return;
   }
   this->TakeSocket(made);
@@ -122,8 +124,8 @@
 void PeerSession::TakeSocket(GSocket* taken) {
   this->socket = taken;
   g_socket_set_blocking(this->socket, FALSE);
-  // Digests are small and late ones are worth little: no waiting to fill
-  // segments.
+  // Digests are small and lose their value when late, so Nagle's algorithm must
+  // not hold them back to fill segments.
   g_socket_set_option(this->socket, IPPROTO_TCP, TCP_NODELAY, 1, nullptr);
   this->readable = g_socket_create_source(this->socket, G_IO_IN, nullptr);
   g_source_set_callback(this->readable, G_SOURCE_FUNC(&PeerSession::OnReadable),
@@ -179,8 +181,8 @@
                                  .incarnation = this->options.incarnation,
                                  .nonce = MakeNonce(),
                                  .receiver = this->expected.host});
-  // The accepting side answers under the secret that was used towards it, so
-  // that hosts in the middle of a rotation understand each other.
+  // The accepting side answers with the secret that the dialling side used, so
+  // that hosts can connect while the secret is being rotated.
   const std::string context =
       this->dialled ? std::string(kDiallerHello)
                     : std::string(kAccepterHello) + this->peer.nonce;
@@ -189,7 +191,8 @@
   this->Queue(SealFrame(secret, context, this->own_hello));
 }
 
-// Reads the other side's Hello and draws the session's key.
+// Verifies the peer's Hello and derives the session key. Returns false if the
+// session was closed.
 bool PeerSession::OnHello(std::string_view body) {
   std::string context(kDiallerHello);
   if (this->dialled) {
@@ -201,8 +204,9 @@
         return OpenFrame(candidate, context, body).has_value();
       });
   if (secret == this->options.secrets.end()) {
-    this->Close({.kind = ErrorKind::kUnauthenticated,
-                 .message = "hello under an unknown secret"});
+    this->Close(
+        {.kind = ErrorKind::kUnauthenticated,
+         .message = "hello not authenticated by an accepted fleet secret"});
     return false;
   }
   const auto payload = body.substr(kTagBytes);
@@ -211,15 +215,16 @@
     this->Close(hello.error());
     return false;
   }
-  // A host replaced under the same address answers with its own id, and a
-  // host that is dialled under an id that it no longer bears must not answer.
+  // A host that replaced another one at the same address answers with its own
+  // id. A host that is dialled under an id that is no longer its own must not
+  // answer.
   const bool right = this->dialled ? hello->host == this->expected.host
                                    : hello->receiver == this->options.host &&
                                          hello->host != this->options.host;
   if (!right) {
     this->Close(
         {.kind = ErrorKind::kStale,
-         .message = "another host is at this address: " +
+         .message = "hello names an unexpected host: " +
                     (this->dialled ? hello->host : hello->receiver).Text()});
     return false;
   }
@@ -299,7 +304,7 @@
     }
     if (got <= 0) {
       this->Close({.kind = ErrorKind::kTimeout,
-                   .message = got == 0 ? "closed by the other side"
+                   .message = got == 0 ? "connection closed by the peer"
                                        : TakeMessage(error)});
       return;
     }
@@ -345,8 +350,8 @@
       break;
     }
     if (put < 0) {
-      // Closed by the next Read() or Tick(), not here: the caller of Send()
-      // isn't ready for on_closed.
+      // The next Read() or Tick() closes the session. It isn't closed here
+      // because callers of Send() don't expect on_closed to be called.
       g_clear_error(&error);
       this->queue.clear();
       this->queued_bytes = this->written = 0;
@@ -373,8 +378,10 @@
   const bool silent = this->options.close_silent && this->Established() &&
                       at - this->last_heard > this->options.silence_timeout;
   if (slow || silent) {
-    this->Close({.kind = ErrorKind::kTimeout,
-                 .message = slow ? "no hello in time" : "silent for too long"});
+    this->Close(
+        {.kind = ErrorKind::kTimeout,
+         .message = slow ? "not established within the hello timeout"
+                         : "nothing received within the silence timeout"});
     return;
   }
   if (this->Established() &&
--- a/packages/peers/session.h
+++ b/packages/peers/session.h
@@ -1,15 +1,23 @@
-// One TCP connection to another entry host: dialled or accepted, then
-// authenticated by Hellos in both directions, then used in both directions.
+// One TCP connection to another host. It is dialled or accepted, then
+// authenticated by a Hello in each direction, then used in both directions.
 //
 //   dialling side                     accepting side
-//     Hello (names whom it expects) ->
-//                                   <- Hello
-//     Heartbeat                     ->      established on both sides
-//     messages                     <->      messages
+//     Hello (with the expected id) ->
+//                                  <- Hello
+//     Heartbeat                    ->      established on both sides
+//     messages                    <->      messages
 //
-// The accepting side counts the session as established only after a frame
-// tagged under the session's key. A Hello alone may be a recording, and must
-// not push a good session aside.
+// The accepting side treats the session as established only after it has
+// received a frame authenticated with the session key. A Hello alone may be
+// replayed, and must not replace a working session.
+//
+//   auto session = PeerSession::Dial(options, handlers, now, id, address);
+//   session->Tick(now);             // periodically
+//   session->Send(message);         // once established
+//
+// Index
+//   SessionOptions, SessionTraffic
+//   PeerSession
 
 #pragma once
 
@@ -31,28 +39,29 @@
 
 namespace hickorystand {
 
-// Most bytes that wait to be written to one peer.
+// Limit on the bytes queued for one peer.
 inline constexpr size_t kMaxQueuedBytes = 8UL * 1024 * 1024;
 
-// What every session of a host has in common.
+// Configuration shared by all sessions of a host.
 struct SessionOptions {
   HostId host;
   DataCentreId data_centre;
   uint64_t incarnation = 0;
-  // The fleet secrets that are accepted; the first one is used for dialling.
+  // The accepted fleet secrets. The first one is used for dialling.
   std::vector<std::string> secrets;
+  // Time from the start of a session until it must be established.
   Duration hello_timeout = std::chrono::seconds(3);
-  // A session on which nothing was heard for so long is closed. Its TCP
-  // connection may stay open for hours after something on the way forgot it.
+  // A session that receives nothing for this long is closed. Its TCP connection
+  // may stay open for hours after a device on the path has dropped its state.
   Duration silence_timeout = std::chrono::seconds(6);
-  // Something is sent at least this often. Longer than the period of digests,
-  // which then serve as heartbeats.
+  // A heartbeat is sent when nothing else was for this long. It is longer than
+  // the period of digests, which therefore serve as heartbeats.
   Duration heartbeat_period = std::chrono::milliseconds(2500);
-  // Test switch: without it a silent session is kept.
+  // For tests: if false, the silence timeout is not applied.
   bool close_silent = true;
 };
 
-// Bytes and frames that went through a session.
+// Bytes and frames that a session sent and received.
 struct SessionTraffic {
   uint64_t bytes_sent = 0;
   uint64_t bytes_received = 0;
@@ -63,25 +72,26 @@
   bool operator==(const SessionTraffic&) const = default;
 };
 
-// One connection. Lives on the task that made it; is destroyed by its owner,
-// never from within its own callbacks.
+// One connection. Belongs to the task that created it. Its owner destroys it,
+// but never during one of its callbacks.
 class PeerSession {
  public:
   struct Handlers {
     std::function<void(PeerSession&)> on_established;
     std::function<void(PeerSession&, WireMessage)> on_message;
-    // Called once; the session is dead afterwards.
+    // Called once, with the reason; the session can't be used afterwards.
     std::function<void(PeerSession&, const Error&)> on_closed;
   };
 
-  // Connects to `expected` at an address.
+  // Starts to connect to the host `expected` at an address. If that fails at
+  // once, the returned session is already closed.
   static std::unique_ptr<PeerSession> Dial(const SessionOptions& options,
                                            Handlers handlers,
                                            Instant now,
                                            const HostId& expected,
                                            const SocketAddress& address);
 
-  // Takes over an accepted socket.
+  // Starts a session on an accepted socket, of which it keeps a reference.
   static std::unique_ptr<PeerSession> Accept(const SessionOptions& options,
                                              Handlers handlers,
                                              Instant now,
@@ -90,13 +100,15 @@
   PeerSession(const PeerSession&) = delete;
   PeerSession& operator=(const PeerSession&) = delete;
 
-  // Queues a message; false if the session is closed or its queue is full.
+  // Queues a message; false if the session isn't established or its queue is
+  // full.
   bool Send(const WireMessage& message);
 
   // Checks the timeouts and sends a heartbeat when one is due.
   void Tick(Instant now);
 
-  // Closes the session, with `reason` for its owner.
+  // Closes the session and passes `reason` to on_closed. Does nothing if the
+  // session is closed.
   void Close(const Error& reason);
 
   bool Established() const { return this->state == State::kEstablished; }
@@ -105,14 +117,16 @@
   Instant LastHeard() const { return this->last_heard; }
   Instant Started() const { return this->started; }
 
-  // The other end, as its Hello says.
+  // The peer's Hello.
   const PeerHello& Peer() const { return this->peer; }
   const SessionTraffic& Traffic() const { return this->traffic; }
 
-  // Bytes that wait to be written.
+  // Bytes not yet written to the socket.
   size_t QueuedBytes() const { return this->queued_bytes; }
 
  private:
+  // kHello: waits for the peer's Hello. kAwaitingProof (accepting side): waits
+  // for the first frame authenticated with the session key.
   enum class State { kConnecting, kHello, kProving, kEstablished, kClosed };
 
   PeerSession(const SessionOptions& options,
@@ -143,9 +157,10 @@
   FrameReader reader{kMaxHelloFrame};
   std::deque<std::string> queue;  // frames; the first may be partly written
   size_t queued_bytes = 0;
-  size_t written = 0;  // bytes of the first frame that are out
+  size_t written = 0;  // bytes of the first frame already written
   std::string own_hello;
-  std::string key;
+  std::string key;  // session key; within OnHello() first the fleet secret
+  // Sequence numbers of the next frame in each direction.
   uint64_t next_out = 0;
   uint64_t next_in = 0;
   PeerHello expected;
--- a/packages/peers/wire.cc
+++ b/packages/peers/wire.cc
@@ -21,8 +21,9 @@
 using apache::thrift::transport::TMemoryBuffer;
 using Protocol = TCompactProtocolT<TMemoryBuffer>;
 
-// Limits on single fields. A list's length is checked before room is made for
-// it, so that a short frame can't ask for gigabytes.
+// Limits on single fields. The length of a list is checked before memory is
+// allocated for it, so that a short frame can't make this host allocate
+// gigabytes.
 constexpr int32_t kMaxText = static_cast<int32_t>(kMaxFrame);
 constexpr int32_t kMaxList = 2 * kMaxDigestEntries;
 constexpr size_t kMaxId = 256;
@@ -41,8 +42,8 @@
   try {
     const auto limits = std::make_shared<TConfiguration>(
         static_cast<int>(kMaxFrame), static_cast<int>(kMaxFrame), kMaxDepth);
-    // An observing buffer only reads, though its constructor takes a pointer
-    // to bytes that could be written.
+    // The constructor takes a pointer to non-const bytes, but a buffer in mode
+    // OBSERVE only reads them.
     auto* bytes = reinterpret_cast<uint8_t*>(const_cast<char*>(payload.data()));
     const auto buffer = std::make_shared<TMemoryBuffer>(
         bytes, static_cast<uint32_t>(payload.size()), TMemoryBuffer::OBSERVE,
@@ -51,7 +52,7 @@
     Struct value;
     value.read(&protocol);
     if (buffer->available_read() != 0) {
-      return Fail(ErrorKind::kBadRequest, "bytes after the message");
+      return Fail(ErrorKind::kBadRequest, "trailing bytes after the message");
     }
     return value;
   } catch (const std::exception& fault) {
@@ -81,7 +82,8 @@
   return columns;
 }
 
-// The entries of the columns; false if they don't fit together.
+// Appends the entries in the columns to `entries`; false if the columns are
+// inconsistent or an index or id is out of range.
 bool FromWire(const wire::Entries& columns, std::vector<DigestEntry>& entries) {
   const size_t count = columns.indexes.size();
   if (columns.first.size() != count || columns.second.size() != count) {
@@ -194,7 +196,8 @@
       FromWire(in.served, delta.served) &&
       FromWire(in.endpoints, delta.endpoints);
   if (!good) {
-    return Fail(ErrorKind::kBadRequest, "digest with fields out of range");
+    return Fail(ErrorKind::kBadRequest,
+                "digest delta with a field out of range");
   }
   if (in.__isset.suspicions) {
     delta.suspicions.emplace();
@@ -211,7 +214,7 @@
   return digest;
 }
 
-// The figures of a service and the fields that carry them.
+// Maps a member of PaceFigures to its field of the Thrift message.
 struct PaceField {
   PaceFigures::Figure PaceFigures::* figure;
   wire::PaceFigure wire::ServicePace::* field;
@@ -349,8 +352,8 @@
   return out;
 }
 
-// Wants and grants of less than nothing, and of ids that are too long, are left
-// out: tokens must not come into being here.
+// Drops requests and grants with a negative number of tokens or an id that is
+// too long: a malformed message must not create tokens.
 LimitTokens ReadLimitTokens(const wire::LimitTokens& in) {
   LimitTokens tokens{.revision = in.revision};
   for (const wire::TokenWant& want : in.wants) {
@@ -384,7 +387,7 @@
   return load;
 }
 
-// Puts each kind of message into its field of the union.
+// Sets the field of the Thrift union that corresponds to a message.
 struct Writer {
   wire::Message out;
 
@@ -583,7 +586,7 @@
   }
   if (in->host.empty() || !GoodId(in->host) || !GoodId(in->data_centre) ||
       in->nonce.size() != kNonceBytes) {
-    return Fail(ErrorKind::kBadRequest, "hello with fields out of range");
+    return Fail(ErrorKind::kBadRequest, "hello with a field out of range");
   }
   return PeerHello{.host = HostId(in->host),
                    .data_centre = DataCentreId(in->data_centre),
@@ -645,7 +648,7 @@
         FreshnessQuestion{.number = in->freshness_question.number,
                           .revision = in->freshness_question.revision}));
   }
-  // A negative age would date the proof later than the question.
+  // A negative age would date the proof later than the request for it.
   if (set.freshness_answer && in->freshness_answer.age >= 0) {
     return WireMessage(PeerMessage(
         FreshnessAnswer{.number = in->freshness_answer.number,
@@ -701,7 +704,8 @@
   if (set.heartbeat) {
     return WireMessage(PeerHeartbeat{});
   }
-  return Fail(ErrorKind::kBadRequest, "message of an unknown kind");
+  return Fail(ErrorKind::kBadRequest,
+              "message of an unknown kind or with a field out of range");
 }
 
 }  // namespace hickorystand
--- a/packages/peers/wire.h
+++ b/packages/peers/wire.h
@@ -1,4 +1,13 @@
-// Messages to bytes and back, by Thrift's compact protocol.
+// Encodes and decodes the messages between hosts in Thrift's compact protocol,
+// as declared in peers.thrift.
+//
+//   const std::string payload = EncodeMessage(PeerHeartbeat{});
+//   const Result<WireMessage> message = DecodeMessage(payload);
+//
+// Index
+//   PeerHello, PeerHeartbeat           session setup and keep-alive
+//   DigestScope, ScopedAck, PeerDigest digests as deltas
+//   WireMessage                        any message that follows the Hellos
 
 #pragma once
 
@@ -15,32 +24,34 @@
 
 namespace hickorystand {
 
-// Who is at one end of a session.
+// First message of each side of a session: the sender's identity.
 struct PeerHello {
   HostId host;
   DataCentreId data_centre;
   uint64_t incarnation = 0;
   std::string nonce;
-  HostId receiver;  // whom the sender expects; empty in the answer
+  HostId receiver;  // the host that the sender dialled; empty in the answer
 
   bool operator==(const PeerHello&) const = default;
 };
 
-// Keeps a quiet session alive.
+// Sent when a session has no other traffic, so that the peer's silence timeout
+// doesn't close it.
 struct PeerHeartbeat {
   bool operator==(const PeerHeartbeat&) const = default;
 };
 
-// Whom a digest speaks for. Each scope is a stream of its own.
+// What a digest covers and who receives it. Each scope is a separate stream
+// with its own acknowledgements.
 enum class DigestScope {
-  kHost,        // the sending host; goes to its data centre
-  kDataCentre,  // the sender's data centre; goes to the other ones
-  kElsewhere,   // all other data centres; goes to the sender's own
+  kHost,        // the sending host; sent to its data centre
+  kDataCentre,  // the sender's data centre; sent to the other ones
+  kElsewhere,   // all other data centres; sent to the sender's own
 };
 inline constexpr size_t kDigestScopes = 3;
 
-// What the receiver of a scope's digests has of them. Incarnation 0 is the
-// session's.
+// Acknowledges the digests of one scope. Incarnation 0 stands for that in the
+// Hello of the host which receives the acknowledgement.
 struct ScopedAck {
   DigestScope scope = DigestScope::kHost;
   DigestAck ack;
@@ -48,9 +59,9 @@
   auto operator<=>(const ScopedAck&) const = default;
 };
 
-// A digest and, riding on it, what its sender has of the receiver's digests.
-// The delta's host, data centre and incarnation don't travel: they are those
-// of the session.
+// A digest delta, with acknowledgements of the receiver's digests. The delta's
+// host, data centre and incarnation are not transmitted: they are those in the
+// sender's Hello.
 struct PeerDigest {
   DigestScope scope = DigestScope::kHost;
   DigestDelta delta;
@@ -59,7 +70,7 @@
   bool operator==(const PeerDigest&) const = default;
 };
 
-// All that a payload can hold after the Hellos.
+// Any message that follows the Hellos.
 using WireMessage = std::variant<PeerHeartbeat, PeerDigest, PeerMessage>;
 
 std::string EncodeHello(const PeerHello& hello);
@@ -67,8 +78,8 @@
 
 std::string EncodeMessage(const WireMessage& message);
 
-// The message in a payload, or kBadRequest when it is cut short, malformed or
-// has a field over its limit.
+// Decodes a payload; kBadRequest if it is truncated, malformed or has a field
+// over its limit.
 Result<WireMessage> DecodeMessage(std::string_view payload);
 
 }  // namespace hickorystand
