--- a/packages/peers/frame.h
+++ b/packages/peers/frame.h
@@ -49,7 +49,7 @@
 
 // Returns a complete frame: length, tag and payload. The tag also covers
 // `context`, which is not part of the frame. The payload must fit into
-// kMaxFrame together with its tag.
+// kMaxFrameBytes together with its tag.
 std::string SealFrame(std::string_view key,
                       std::string_view context,
                       std::string_view payload);
--- a/packages/peers/peer_links.h
+++ b/packages/peers/peer_links.h
@@ -1,8 +1,8 @@
 // The links of one host to its peers: connections, digests in both directions,
 // and the other messages that hosts send each other.
 //
-// A PeerLinks belongs to one task: it is created, used and destroyed there, and
-// calls its handlers there.
+// A PeerLinks and its sockets belong to one task: it is created, used and
+// destroyed there, and calls its handlers there.
 //
 //   PeerLinks links(options, handlers);
 //   links.Listen();
