--- a/packages/peers/peer_links.cc
+++ b/packages/peers/peer_links.cc
@@ -152,13 +152,13 @@
       wanted.emplace(host.host, host);
     }
   }
-  std::vector<HostId> gone;
+  std::vector<HostId> removed;
   for (auto& [id, link] : this->links) {
     if (!wanted.contains(id) && std::exchange(link.listed, false)) {
-      gone.push_back(id);
+      removed.push_back(id);
     }
   }
-  for (const auto& id : gone) {
+  for (const auto& id : removed) {
     Link& link = this->links[id];
     if (link.up && delisted == Delisted::kKeep) {
       continue;
@@ -170,12 +170,12 @@
     this->ForgetHost(id);
   }
   for (const auto& [id, host] : wanted) {
-    const bool fresh = !this->links.contains(id);
+    const bool added = !this->links.contains(id);
     Link& link = this->links[id];
     link.listed = true;
     const bool moved = link.host.address != host.address;
     link.host = host;
-    if (fresh || moved) {
+    if (added || moved) {
       link.backoff.emplace(this->options.first_backoff,
                            this->options.longest_backoff,
                            this->options.seed + std::hash<HostId>()(id));
@@ -266,10 +266,10 @@
     const bool known = this->links.contains(id);
     const auto unlisted = std::ranges::count_if(
         this->links, [](const auto& entry) { return !entry.second.listed; });
-    const uint64_t seen =
+    const uint64_t known_incarnation =
         known ? this->links[id].received.front().Current().incarnation : 0;
     if ((!known && static_cast<size_t>(unlisted) >= kMaxUnlisted) ||
-        session.Peer().incarnation < seen) {
+        session.Peer().incarnation < known_incarnation) {
       session.Close({.kind = ErrorKind::kStale,
                      .message = "older incarnation of a linked host, or too "
                                 "many unlisted hosts"});
@@ -399,8 +399,9 @@
   if (scope == DigestScope::kHost && this->options.digests_to) {
     return link.up && this->options.digests_to(link.host.host);
   }
-  const bool near = link.host.data_centre == this->options.session.data_centre;
-  return link.up && near == (scope != DigestScope::kDataCentre);
+  const bool same_data_centre =
+      link.host.data_centre == this->options.session.data_centre;
+  return link.up && same_data_centre == (scope != DigestScope::kDataCentre);
 }
 
 void PeerLinks::SendDigest(DigestScope scope, const Digest& digest) {
--- a/packages/peers/session.cc
+++ b/packages/peers/session.cc
@@ -100,13 +100,13 @@
 }
 
 void PeerSession::Connect(const SocketAddress& address) {
-  GSocket* made = NewSocket(address);
-  if (made == nullptr) {
+  GSocket* new_socket = NewSocket(address);
+  if (new_socket == nullptr) {
     this->Close(
         {.kind = ErrorKind::kInternal, .message = "can't create a socket"});
     return;
   }
-  this->TakeSocket(made);
+  this->TakeSocket(new_socket);
   GSocketAddress* to =
       g_inet_socket_address_new_from_string(address.host.c_str(), address.port);
   GError* error = nullptr;
@@ -218,10 +218,11 @@
   // A host that replaced another one at the same address answers with its own
   // id. A host that is dialled under an id that is no longer its own must not
   // answer.
-  const bool right = this->dialled ? hello->host == this->expected.host
-                                   : hello->receiver == this->options.host &&
-                                         hello->host != this->options.host;
-  if (!right) {
+  const bool identity_matches = this->dialled
+                                    ? hello->host == this->expected.host
+                                    : hello->receiver == this->options.host &&
+                                          hello->host != this->options.host;
+  if (!identity_matches) {
     this->Close(
         {.kind = ErrorKind::kStale,
          .message = "hello names an unexpected host: " +
@@ -233,10 +234,10 @@
   if (!this->dialled) {
     this->SendHello();
   }
-  std::string both(kSessionKey);
-  both += this->dialled ? this->own_hello : std::string(payload);
-  both += this->dialled ? std::string(payload) : this->own_hello;
-  this->key = Authenticate(this->key, both);
+  std::string key_input(kSessionKey);
+  key_input += this->dialled ? this->own_hello : std::string(payload);
+  key_input += this->dialled ? std::string(payload) : this->own_hello;
+  this->key = Authenticate(this->key, key_input);
   this->reader.SetLimit(kMaxFrame);
   if (!this->dialled) {
     this->state = State::kProving;
@@ -294,7 +295,7 @@
 
 void PeerSession::Read() {
   std::array<char, kReadChunk> chunk{};
-  for (size_t turn = 0; turn < kReadPerTurn && !this->Closed();) {
+  for (size_t bytes_read = 0; bytes_read < kReadPerTurn && !this->Closed();) {
     GError* error = nullptr;
     const gssize got = g_socket_receive(this->socket, chunk.data(),
                                         chunk.size(), nullptr, &error);
@@ -309,7 +310,7 @@
       return;
     }
     this->traffic.bytes_received += static_cast<uint64_t>(got);
-    turn += static_cast<size_t>(got);
+    bytes_read += static_cast<size_t>(got);
     this->reader.Feed({chunk.data(), static_cast<size_t>(got)});
     if (!this->HandleFrames() || static_cast<size_t>(got) < chunk.size()) {
       return;
@@ -342,14 +343,15 @@
   while (!this->queue.empty()) {
     const std::string& frame = this->queue.front();
     GError* error = nullptr;
-    const gssize put =
+    const gssize sent =
         g_socket_send(this->socket, frame.data() + this->written,
                       frame.size() - this->written, nullptr, &error);
-    if (put < 0 && g_error_matches(error, G_IO_ERROR, G_IO_ERROR_WOULD_BLOCK)) {
+    if (sent < 0 &&
+        g_error_matches(error, G_IO_ERROR, G_IO_ERROR_WOULD_BLOCK)) {
       g_clear_error(&error);
       break;
     }
-    if (put < 0) {
+    if (sent < 0) {
       // The next Read() or Tick() closes the session. It isn't closed here
       // because callers of Send() don't expect on_closed to be called.
       g_clear_error(&error);
@@ -357,9 +359,9 @@
       this->queued_bytes = this->written = 0;
       break;
     }
-    this->traffic.bytes_sent += static_cast<uint64_t>(put);
-    this->written += static_cast<size_t>(put);
-    this->queued_bytes -= static_cast<size_t>(put);
+    this->traffic.bytes_sent += static_cast<uint64_t>(sent);
+    this->written += static_cast<size_t>(sent);
+    this->queued_bytes -= static_cast<size_t>(sent);
     if (this->written == frame.size()) {
       this->queue.pop_front();
       this->written = 0;
