--- a/packages/peers/message.h
+++ b/packages/peers/message.h
@@ -2,17 +2,17 @@
 // program uses. peers/wire.h encodes and decodes them.
 //
 // Index
-//   BucketsRequest, Bucket, BucketsReply   the configuration
-//   FreshnessQuestion, FreshnessAnswer     proof that a configuration is
-//   current UsageCopyMessage, Released             usage counters and leases
-//   ForwardedRequest, ForwardedBody        a caller's request on its way from
-//   ForwardControl                         the ingress host to a scheduler
-//   AnswerEnd, ForwardedHead, ForwardedAnswer   the response on its way back
-//   SchedulerNews                          the state of a scheduler
-//   PaceMessage, CacheUpdate, PrefillLoad  the speed, prefix cache and load of
-//                                          engines
-//   LimitTokens                            client accounts' rate limits
-//   PeerMessage                            any of these, or an EndpointNews
+//   BucketsRequest, Bucket, BucketsReply    configuration
+//   FreshnessQuestion, FreshnessAnswer      proof that it is the newest
+//   UsageCopyMessage, Released              usage counters, leases
+//   ForwardedRequest, ForwardedBody         request, ingress host to scheduler
+//   ForwardedHead, ForwardedAnswer          response, scheduler to ingress host
+//   AnswerEnd, ForwardAction, ForwardControl
+//   SchedulerNews                           state of the sending host
+//   PaceMessage, CacheUpdate, PrefillLoad   speed, prefix cache, load of
+//   engines LimitTokens                             rate limits of client
+//   accounts PeerMessage                             any of these, or an
+//   EndpointNews
 //
 //   links.Send(host, BucketsRequest{.above_revision = 7});
 
@@ -181,7 +181,7 @@
   bool scheduler = false;  // the sender still has the scheduler role
   bool busy = false;       // overloaded
   bool ready = false;
-  bool keys_proven = false;  // its list of API keys is proven current
+  bool keys_proven = false;  // API keys proven current recently enough
   int64_t configuration_version = 0;
   int64_t head_bytes = 0;  // these four: limits on callers' requests
   int64_t body_bytes = 0;
