--- a/packages/peers/message.h
+++ b/packages/peers/message.h
@@ -9,10 +9,9 @@
 //   ForwardedHead, ForwardedAnswer          response, scheduler to ingress host
 //   AnswerEnd, ForwardAction, ForwardControl
 //   SchedulerNews                           state of the sending host
-//   PaceMessage, CacheUpdate, PrefillLoad   speed, prefix cache, load of
-//   engines LimitTokens                             rate limits of client
-//   accounts PeerMessage                             any of these, or an
-//   EndpointNews
+//   PaceMessage, CacheUpdate, PrefillLoad   state of engines
+//   LimitTokens                             client accounts' rate limits
+//   PeerMessage                             any of these, or an EndpointNews
 //
 //   links.Send(host, BucketsRequest{.above_revision = 7});
 
@@ -181,7 +180,7 @@
   bool scheduler = false;  // the sender still has the scheduler role
   bool busy = false;       // overloaded
   bool ready = false;
-  bool keys_proven = false;  // API keys proven current recently enough
+  bool keys_proven = false;  // API keys were proven current recently
   int64_t configuration_version = 0;
   int64_t head_bytes = 0;  // these four: limits on callers' requests
   int64_t body_bytes = 0;
