--- a/packages/gateway/caller_error.h
+++ b/packages/gateway/caller_error.h
@@ -1,5 +1,9 @@
-// How a failure is written to a caller, so that an ordinary OpenAI client
-// library raises the right exception and retries only what may be retried.
+// Writes errors to callers in the OpenAI format, so that an unmodified OpenAI
+// client library raises the matching exception and retries only requests that
+// may be retried.
+//
+// Example:
+//   AnswerError(call, request_id, {ErrorKind::kBadKey, "..."});
 
 #pragma once
 
@@ -15,12 +19,13 @@
 // The JSON error object: {"error":{"message","type","param","code"}}.
 std::string ErrorBody(const Error& error);
 
-// Content-Type, x-should-retry and, when the time is known, Retry-After in
-// whole seconds, at least 1.
+// The headers of an error response: Content-Type, x-should-retry and, for a
+// retryable error with a known delay, Retry-After in whole seconds (rounded up,
+// at least 1).
 HttpHeaders ErrorHeaders(const Error& error);
 
-// Answers a call with an error. An answer that has begun can't be turned into
-// another; the caller of this function must not have begun one.
+// Answers a call with an error. Must not be used once a response was started:
+// its status and headers can no longer be changed.
 void AnswerError(const HttpCallPtr& call,
                  const RequestId& request,
                  const Error& error);
--- a/packages/gateway/completion_body.cc
+++ b/packages/gateway/completion_body.cc
@@ -13,22 +13,23 @@
 namespace hickorystand {
 namespace {
 
-// Tokens that an answer is taken to have when the caller sets no limit.
+// Assumed length of an answer if the caller sets no limit, in tokens.
 constexpr int64_t kOutputGuess = 256;
 constexpr int64_t kMaxOutputTokens = int64_t{1} << 20;
 
 constexpr std::string_view kZeroEscape = "\\u0000";
-// All that may stand outside of strings: spaces, punctuation, numbers, and the
-// letters of true, false and null.
+// The bytes allowed outside of strings: white space, punctuation, numbers, and
+// the letters of true, false and null.
 constexpr std::string_view kJsonBytes = " \t\r\n{}[]:,+-.0123456789eEtrufalsn";
 
-// A longer run of these is no number that anybody means, and the parser would
-// read it as infinite, which can't be written again.
+// Limits on the length and value of a number. Beyond them the parser may read
+// infinity, which can't be written back as JSON.
 constexpr std::string_view kNumberBytes = "0123456789.eE+-";
 constexpr size_t kMaxNumberBytes = 40;
 constexpr double kMaxNumber = 1e300;
 
-// Members whose answers are more than one growing text.
+// Request members whose answers consist of more than one text that grows, so
+// that they can't be assembled from a stream.
 constexpr std::array<std::string_view, 6> kNotByChunks = {
     "tools", "functions", "logprobs", "best_of", "echo", "audio"};
 
@@ -41,8 +42,8 @@
                          nullptr) != FALSE;
 }
 
-// Steps over the string that begins at `at`, to its closing quote. The error
-// says why that can't be done.
+// Advances `at` from the opening to the closing quote of a string. Fails if the
+// string is unterminated or contains "\u0000".
 Result<void> SkipString(std::string_view text, size_t& at) {
   for (++at; at < text.size() && text[at] != '"'; ++at) {
     if (text[at] != '\\') {
@@ -57,7 +58,8 @@
                           : BadBody("The body ends within a string.");
 }
 
-// Steps to the last byte of the number that begins at `at`.
+// Advances `at` from the first to the last byte of a number. Fails if the
+// number is out of range.
 Result<void> SkipNumber(std::string_view text, size_t& at) {
   const size_t end =
       std::min(text.find_first_not_of(kNumberBytes, at), text.size());
@@ -95,8 +97,8 @@
   if (kind == CompletionKind::kText && !prompt.IsText() && !prompt.IsArray()) {
     return BadBody("'prompt' must be a string or a list.");
   }
-  // An engine that is asked for no tokens answers with no stream, and the
-  // caller would wait for one until its deadline.
+  // An engine that is asked for 0 tokens sends no stream, and the caller would
+  // wait for one until its deadline.
   for (const char* name : {"max_tokens", "max_completion_tokens"}) {
     if (json.At(name).IsNumber() && json.At(name).Number() < 1) {
       return BadBody(std::string("'") + name + "' must be at least 1.");
@@ -114,8 +116,8 @@
   return std::clamp<int64_t>(limit.Integer(kOutputGuess), 1, kMaxOutputTokens);
 }
 
-// The caller's body with the answer asked for as a stream that ends with the
-// token counts.
+// The caller's body, changed to request a stream that ends with the token
+// counts.
 std::string StreamingBody(const Json& json) {
   JsonWriter out;
   out.BeginObject();
@@ -193,7 +195,7 @@
   body.prefix_hashes = PrefixHashes(prompt);
   body.by_chunks = body.stream || !AsksForMore(*json);
   body.engine_body = body.by_chunks ? StreamingBody(*json) : std::string(text);
-  // The parser turns half a surrogate pair into bytes that are no UTF-8.
+  // The parser converts an unpaired surrogate into bytes that are not UTF-8.
   if (!IsUtf8(body.engine_body) || !IsUtf8(prompt)) {
     return Fail(ErrorKind::kBadRequest,
                 "The body contains half a surrogate pair.");
--- a/packages/gateway/decision_log.cc
+++ b/packages/gateway/decision_log.cc
@@ -28,12 +28,13 @@
     KindText{DispatchKind::kRefuse, "Request refused."},
 };
 
-// In the order of the enumeration.
+// Indexed by AttemptOutcome.
 constexpr std::array<std::string_view, 9> kOutcomeNames = {
     "complete", "not_sent", "refused",      "rejected", "broken",
     "crashed",  "silent",   "wrong_answer", "cancelled"};
 
-// The best of the rest, as e4:0.120s,e7:0.300s.
+// The best candidates that were not chosen, with their estimated seconds, as in
+// "e4:0.120s,e7:0.300s".
 std::string RunnersUpText(const std::vector<Candidate>& runners_up) {
   std::string text;
   const size_t shown = std::min(runners_up.size(), kMaxRunnersUp);
--- a/packages/gateway/decision_log.h
+++ b/packages/gateway/decision_log.h
@@ -1,5 +1,11 @@
-// One log line per decision about a request, and the last of them kept in
-// memory for `hickoryctl why REQUEST-ID`.
+// Logs every routing and limit decision about a request, one line each, and
+// keeps the most recent ones in memory for `hickoryctl why REQUEST-ID`.
+//
+// Index
+//   Decision        one logged decision
+//   LimitDecision   the outcome of a token request against an account's limit
+//   DecisionLog     writes and keeps decisions
+//   OutcomeName     the name of an attempt's outcome in logs and metrics
 
 #pragma once
 
@@ -28,38 +34,41 @@
   bool operator==(const Decision&) const = default;
 };
 
-// What was decided about a request's tokens, and the share that it rests on.
+// The outcome of a token request against an account's limit, with the share of
+// the limit that this host held when it was decided.
 struct LimitDecision {
   LimitVerdict verdict;
-  double share = 0;                   // of each limit, held by this host
-  std::optional<Duration> share_age;  // since it was confirmed; nothing: none
-  int64_t holders_revision = 0;       // of the record of share holders
+  double share = 0;  // fraction of each limit held here
+  std::optional<Duration>
+      share_age;                 // since its last confirmation; empty: none
+  int64_t holders_revision = 0;  // revision of the share holders record
 
   bool operator==(const LimitDecision&) const = default;
 };
 
-// Writes and remembers decisions.
+// Writes decisions to the log and keeps the last `capacity` of them. Each
+// Record() overload logs one line.
 class DecisionLog {
  public:
   explicit DecisionLog(size_t capacity) : capacity(capacity) {}
 
-  // What the dispatcher decided.
+  // Records an action of the dispatcher.
   void Record(int64_t wall_milliseconds, const Dispatch& action);
 
-  // How an attempt ended.
+  // Records the end of an attempt. `detail` is the reason in plain text.
   void Record(int64_t wall_milliseconds,
               const RequestId& request,
               const EndpointId& endpoint,
               const AttemptResult& result,
               const std::string& detail);
 
-  // A request was over its account's limit.
+  // Records that a request was refused because its account is over its limit.
   void Record(int64_t wall_milliseconds,
               const RequestId& request,
               const LimitAsk& ask,
               const LimitDecision& decision);
 
-  // All that is remembered about a request, oldest first.
+  // The decisions about a request that are still in memory, oldest first.
   std::vector<Decision> About(const RequestId& request) const;
 
  private:
@@ -69,7 +78,6 @@
   std::deque<Decision> kept;  // oldest first
 };
 
-// The outcome's name in logs and metrics.
 std::string_view OutcomeName(AttemptOutcome outcome);
 
 }  // namespace hickorystand
--- a/packages/gateway/endpoint_watcher.cc
+++ b/packages/gateway/endpoint_watcher.cc
@@ -47,7 +47,8 @@
   }
 }
 
-// One question at a time per engine: questions to one that hangs would pile up.
+// One request at a time per engine; otherwise requests to an engine that does
+// not respond would accumulate.
 void EndpointWatcher::AskForLoads() {
   this->ForEachEngine([this](const Endpoint& endpoint) {
     if (std::exchange(this->load_asked[endpoint.id], true)) {
@@ -84,8 +85,9 @@
   });
 }
 
-// After a restart the engine counts from the beginning again, so the question
-// that follows asks for a snapshot.
+// After a restart the engine counts sequence numbers from the beginning again.
+// Events that follow a restart are therefore ignored up to a snapshot, which
+// the next poll requests with sequence number 0.
 void EndpointWatcher::TakeCacheEvents(
     const EndpointId& endpoint,
     const Result<std::vector<CacheEvent>>& events) {
--- a/packages/gateway/endpoint_watcher.h
+++ b/packages/gateway/endpoint_watcher.h
@@ -1,5 +1,10 @@
-// Asks the engines of this data centre for their load and for the changes of
-// their prefix caches, again and again.
+// Polls the engines of this data centre for their load and for changes of their
+// prefix caches.
+//
+// Index
+//   EndpointWatcherOptions   polling periods
+//   EndpointWatcherEvents    callbacks
+//   EndpointWatcher          the poller
 
 #pragma once
 
@@ -14,7 +19,7 @@
 
 namespace hickorystand {
 
-// How often is asked; zero: never.
+// Polling periods; zero disables polling.
 struct EndpointWatcherOptions {
   Duration load_period = std::chrono::milliseconds(500);
   Duration cache_period = std::chrono::seconds(1);
@@ -22,13 +27,15 @@
   auto operator<=>(const EndpointWatcherOptions&) const = default;
 };
 
-// What a watcher tells.
+// Callbacks for what was polled. Both must be set.
 struct EndpointWatcherEvents {
   std::function<void(const LoadReport&)> on_load;
   std::function<void(const CacheEvent&)> on_cache;
 };
 
-// Watches all engines of one data centre.
+// Polls all engines (endpoints of language services) of one data centre, at
+// most one request of each kind at a time per engine. Failed polls are dropped;
+// the next period polls again.
 class EndpointWatcher {
  public:
   EndpointWatcher(EndpointWatcherOptions options,
@@ -45,7 +52,7 @@
   struct CachePosition {
     uint64_t incarnation = 0;
     int64_t sequence = 0;
-    bool asked = false;  // a question is out
+    bool asked = false;  // a request is in flight
   };
 
   void AskForLoads();
--- a/packages/gateway/gateway.cc
+++ b/packages/gateway/gateway.cc
@@ -26,11 +26,13 @@
 constexpr size_t kMaxKeyBytes = 512;
 constexpr size_t kMaxIdempotencyKeyBytes = 256;
 
-// Lines about refusals: callers cause them, so they are bounded.
+// Rate limit for log lines about refused calls, since callers can cause any
+// number of them.
 constexpr int kRefusalLogBurst = 20;
 constexpr Duration kRefusalLogInterval = std::chrono::milliseconds(100);
 
-// A hash over several texts, none of which can run into the next.
+// Hashes several texts. Each is hashed with the previous hash as its seed, so
+// that moving bytes from one text to the next changes the result.
 uint64_t HashOf(std::initializer_list<std::string_view> texts) {
   uint64_t hash = 0;
   for (const std::string_view text : texts) {
@@ -48,7 +50,7 @@
   return hex.get();
 }
 
-// The key of "Authorization: Bearer KEY".
+// Returns KEY of "Authorization: Bearer KEY".
 std::optional<std::string> BearerKey(const HttpHeaders& headers) {
   constexpr std::string_view kScheme = "bearer ";
   const std::string value =
@@ -61,7 +63,8 @@
   return key.size() > kMaxKeyBytes ? std::nullopt : std::optional(key);
 }
 
-// Removes what would carry the caller's key to an endpoint under another name.
+// Removes every header whose value contains the caller's key, so that no
+// endpoint receives the key under another header name.
 HttpHeaders WithoutKey(HttpHeaders headers, const std::string& key) {
   std::erase_if(headers, [&](const HttpHeader& header) {
     return header.value.find(key) != std::string::npos;
@@ -75,7 +78,7 @@
          request.body.find(key) != std::string::npos;
 }
 
-// A model as OpenAI's clients read it.
+// Writes a model object in the OpenAI format.
 void WriteModel(JsonWriter& out, const ServiceId& id) {
   out.BeginObject().Member("id", id.Text());
   out.Member("object", "model").Member("created", 0);
@@ -102,7 +105,7 @@
       random(std::random_device{}()),
       refusal_log(kRefusalLogBurst, kRefusalLogInterval) {
   const auto* factory = Registry<Dispatcher>::Find(this->options.dispatcher);
-  assert(factory != nullptr && "no dispatcher plug-in bears this name");
+  assert(factory != nullptr && "no dispatcher plug-in has this name");
   this->options.driver.host = this->options.host;
   this->driver = std::make_unique<RequestDriver>(
       this->options.driver,
@@ -122,7 +125,7 @@
 Gateway::~Gateway() {
   this->ticker.reset();
   this->watcher.reset();
-  this->driver.reset();  // before the server, whose calls it answers
+  this->driver.reset();  // before the server, whose calls it still uses
 }
 
 Result<SocketAddress> Gateway::Start() {
@@ -170,8 +173,9 @@
   this->driver->SetEnd(ends_at);
 }
 
-// Requests whose bodies are still read aren't with the driver yet, and answers
-// that slow callers fetch no longer are.
+// The driver does not cover requests whose bodies are still being read, nor
+// answers that slow callers are still receiving, so the server is waited for
+// as well.
 void Gateway::StartDrain(std::function<void()> on_drained) {
   this->server->CloseAfterAnswers();
   this->draining = true;
@@ -307,8 +311,8 @@
                this->metrics.PrometheusText());
 }
 
-// The hash is computed whether or not such a key exists, and what is compared
-// is the hash; so the time that it takes says nothing about any key.
+// The hash is computed even if there is no key, and only hashes are compared,
+// so that the response time reveals nothing about valid keys.
 Result<Gateway::Caller> Gateway::Authenticate(
     const HttpRequest& request) const {
   const std::optional<std::string> key = BearerKey(request.headers);
@@ -471,7 +475,7 @@
   AnswerError(call, id, error);
 }
 
-// 128 random bits, so that no two hosts or incarnations make the same one.
+// Uses 128 random bits, so that ids are unique across hosts and incarnations.
 RequestId Gateway::MakeRequestId() {
   std::array<char, 40> text{};
   std::snprintf(text.data(), text.size(), "req-%016llx%016llx",
--- a/packages/gateway/gateway.h
+++ b/packages/gateway/gateway.h
@@ -1,15 +1,20 @@
-// The gateway: HTTP towards callers. It checks keys and bodies, turns calls
-// into requests, and has them dispatched.
+// The gateway: the HTTP interface for callers. It checks API keys and request
+// bodies, converts calls into requests, and hands them to a RequestDriver.
 //
 //   POST /v1/chat/completions   POST /v1/completions   GET /v1/models[/NAME]
 //   ANY  /services/NAME/...
 //   GET  /healthz   GET /readyz   GET /metrics
 //
-// It lives on one task: make, use and destroy it there.
+// Not thread-safe: create, use and destroy it on one task.
 //
 // Index
 //   GatewayOptions   addresses, limits, the dispatcher's name
 //   Gateway          the class
+//
+// Example:
+//   Gateway gateway(options, clock, metrics);
+//   gateway.ApplyConfiguration(configuration);
+//   const Result<SocketAddress> address = gateway.Start();
 
 #pragma once
 
@@ -31,24 +36,24 @@
 
 namespace hickorystand {
 
-// How a gateway is set.
 struct GatewayOptions {
   HttpServerOptions http;
   HostId host;
   DataCentreId data_centre;
-  std::string dispatcher = "round-robin";
+  std::string dispatcher = "round-robin";  // name of the plug-in
   uint64_t seed = 1;
   int64_t max_queued = 4096;
-  RequestDriverOptions driver;  // its host is set from the above
+  RequestDriverOptions driver;  // `driver.host` is overwritten by `host`
   JsonLimits json;
   Duration tick = std::chrono::milliseconds(10);
-  // How long a request that may wait may wait.
+  // Deadline of batch requests, from their arrival.
   Duration batch_deadline = std::chrono::hours(24);
   int64_t hold_bytes = int64_t{1} << 20;  // see RelayOptions
   EndpointWatcherOptions watcher;
 };
 
-// One entry host's side towards callers.
+// Serves callers on one host. A call that can't be served is answered with an
+// error in the OpenAI format, see caller_error.h.
 class Gateway {
  public:
   Gateway(GatewayOptions options, const Clock& clock, Metrics& metrics);
@@ -56,55 +61,58 @@
   Gateway(const Gateway&) = delete;
   Gateway& operator=(const Gateway&) = delete;
 
-  // Starts to listen and to watch endpoints.
+  // Starts listening and polling endpoints. Returns the address bound, or the
+  // error of the HTTP server.
   Result<SocketAddress> Start();
 
   void SetHooks(RequestHooks hooks) {
     this->driver->SetHooks(std::move(hooks));
   }
 
-  // Called with each load report of an endpoint, for the coordinator.
+  // Sets a function that receives each load report of an endpoint; the
+  // coordinator uses it.
   void SetOnLoad(std::function<void(const LoadReport&)> call) {
     this->on_load = std::move(call);
   }
 
-  // Puts a revision in force; an older one than that in force is ignored.
+  // Applies a configuration. One with an older revision than the current is
+  // ignored.
   void ApplyConfiguration(ConfigurationPtr next);
 
-  // Whether keys may still be trusted. A data centre that was cut off for too
-  // long can't know which keys were revoked, and refuses them all.
+  // Sets whether API keys are accepted. A data centre that was partitioned for
+  // too long can't tell which keys have been revoked and rejects them all.
   void TrustKeys(bool trusted) { this->keys_trusted = trusted; }
 
   void OnDigest(const Digest& digest) { this->driver->OnDigest(digest); }
   void OnHostGone(const HostId& host) { this->driver->OnHostGone(host); }
   void FillDigest(Digest& digest) const { this->driver->FillDigest(digest); }
 
-  // /readyz fails from now on, so that the balancer looks away; whoever still
-  // calls is served, and its connection closed with the answer. Requests
-  // whose answers wouldn't be whole at `ends_at`, when the process may end, are
-  // refused.
+  // Makes /readyz fail, so that the load balancer stops sending new calls.
+  // Calls that still arrive are served, and their connections are closed after
+  // the answer. Requests that are not expected to be answered in full by
+  // `ends_at`, when the process may end, are refused.
   void AnnounceLeaving(Instant ends_at);
 
-  // Not ready from now on; new requests are refused as not run, and those here
-  // are finished. Calls back when their answers are written.
+  // Makes /readyz fail, refuses new requests as not run, and completes the
+  // current ones. `on_drained` is called when their answers are written.
   void StartDrain(std::function<void()> on_drained);
 
-  // Drains, but gives requests that are here their final answer at once: an
-  // error that says whether they may have run.
+  // Like StartDrain(), but answers current requests at once, with an error that
+  // states whether they may have run.
   void EndRequests(std::function<void()> on_answered);
   bool Draining() const { return this->draining; }
 
-  // What was decided about a request, oldest first.
+  // The decisions about a request that are still in memory, oldest first.
   std::vector<Decision> RecentDecisions(const RequestId& request) const;
 
-  // Refusals by code since the start, those by the dispatcher among them.
+  // Refusals since the start by error code, including those of the dispatcher.
   std::map<std::string, int64_t> Refusals() const;
 
   int64_t Queued() const { return this->driver->Queued(); }
   int64_t Running() const { return this->driver->Running(); }
 
  private:
-  // Who calls, once the key was found good.
+  // An authenticated caller.
   struct Caller {
     AccountId account;
     std::string key;
--- a/packages/gateway/relay.cc
+++ b/packages/gateway/relay.cc
@@ -23,7 +23,8 @@
   AnswerShape Shape() const override { return AnswerShape::kChunks; }
 
   void OnChunk(std::string_view data, const CompletionChunk& chunk) override {
-    // The engine is always asked for its counts; the caller may not have been.
+    // The engine is always asked for token counts, also when the caller did
+    // not request them.
     const bool only_usage =
         chunk.has_usage && !chunk.has_output && chunk.finish_reason.empty();
     if (only_usage && !this->options.include_usage) {
@@ -44,8 +45,8 @@
     this->call->EndStream();
   }
 
-  // A stream that just stopped would look to its reader like a short answer.
-  // The error event makes a client library raise; [DONE] is not sent.
+  // A stream that only ended would look like a short answer. The error event
+  // makes a client library raise an exception; [DONE] is not sent.
   void Fail(const Error& error) override {
     if (!this->call->Started()) {
       Relay::Fail(error);
@@ -155,7 +156,7 @@
   CompletionUsage usage;
 };
 
-// -- Whole completions as they are -------------------------------------------
+// -- Whole completions, unchanged --------------------------------------------
 
 class WholeRelay final : public Relay {
  public:
@@ -167,8 +168,8 @@
 
 // -- Plain services ----------------------------------------------------------
 
-// Holds what each attempt has brought until one is whole, or until one has
-// brought so much that it is passed on from then.
+// Buffers the answer of each attempt until one is complete, or until one
+// exceeds `hold_bytes`; that one is streamed to the caller from then on.
 class BytesRelay final : public Relay {
  public:
   BytesRelay(HttpCallPtr call, RequestId request, const RelayOptions& options)
--- a/packages/gateway/relay.h
+++ b/packages/gateway/relay.h
@@ -1,15 +1,16 @@
-// Relays turn what endpoints send into one answer to a caller, whatever
-// happens to the attempts in between.
+// Relays convert what endpoints send into one answer to a caller, across failed
+// attempts, resumptions and hedges.
 //
-// There is one relay for each way to answer:
-//   MakeStreamRelay     server-sent events, passed on as they come
-//   MakeAssemblyRelay   a whole completion, put together from a stream
+// There is one relay for each form of answer:
+//   MakeStreamRelay     server-sent events, forwarded as they arrive
+//   MakeAssemblyRelay   a whole completion, assembled from a stream
 //   MakeWholeRelay      a whole completion, as the engine sent it
 //   MakeBytesRelay      a plain service's answer
 //
-// A caller either gets its answer to the end, or an error that it can't
-// mistake for one: a status before anything was sent, an error event within a
-// stream, or a connection that is cut within a counted or chunked body.
+// A caller receives either a complete answer or an error that can't be mistaken
+// for one: an error status if nothing was sent yet, an error event within a
+// stream, or a connection closed before the end of a body whose length is given
+// by Content-Length or chunked encoding.
 
 #pragma once
 
@@ -23,39 +24,43 @@
 
 namespace hickorystand {
 
-// Answers one caller.
+// Answers one caller. The RequestDriver reports the events of the request's
+// attempts and ends the answer with Finish() or Fail(), unless the caller has
+// disconnected.
 class Relay {
  public:
   Relay(HttpCallPtr call, RequestId request);
   virtual ~Relay() = default;
 
-  // What the endpoint is asked for.
+  // The form of answer to request from the endpoint.
   virtual AnswerShape Shape() const = 0;
 
-  // An attempt's news, see AttemptEvents.
+  // Events of an attempt, see AttemptEvents.
   virtual void OnHead(AttemptId, const HttpAnswerHead&) {}
   virtual void OnBytes(AttemptId, std::string_view) {}
   virtual void OnChunk(std::string_view, const CompletionChunk&) {}
 
-  // An attempt has ended without success; what it left is of no use, but for
-  // tokens that a resumption goes on from.
+  // Called when an attempt has failed: discards what it delivered, except for
+  // tokens from which another attempt can resume.
   virtual void Drop(AttemptId) {}
 
-  // Answers with what an attempt ended with.
+  // Answers with the result of the attempt that ended the request.
   virtual void Finish(const AttemptEnd& end) = 0;
 
-  // Answers with an error.
+  // Answers with an error. Aborts the connection if the answer has begun and
+  // its format has no place for an error.
   virtual void Fail(const Error& error);
 
-  // The attempt that the answer is bound to, since part of it was passed on
-  // and no other can go on from there; 0: none.
+  // The attempt whose answer was partly forwarded and which no other attempt
+  // can continue; 0 if there is none.
   virtual AttemptId BoundTo() const { return 0; }
 
-  // Generated tokens that are kept, from which an attempt may resume.
+  // The number of generated tokens received so far; a later attempt resumes
+  // after them.
   int64_t Delivered() const { return this->delivered; }
 
  protected:
-  // Passes on an endpoint's answer as it stands.
+  // Forwards an endpoint's answer unchanged.
   void AnswerWith(const AttemptEnd& end);
 
   HttpCallPtr call;
@@ -63,12 +68,12 @@
   int64_t delivered = 0;
 };
 
-// How callers asked to be answered.
+// What the form of an answer depends on, other than the kind of relay.
 struct RelayOptions {
   CompletionKind kind = CompletionKind::kChat;
   bool include_usage = false;
-  // A plain service's answer is held back up to this size, so that it can be
-  // tried again elsewhere until then.
+  // An answer of a plain service is buffered up to this size. Until then the
+  // request can still be retried at another endpoint.
   int64_t hold_bytes = int64_t{1} << 20;
 };
 
