--- a/packages/endpoints/attempt.cc
+++ b/packages/endpoints/attempt.cc
@@ -1,4 +1,4 @@
-// Attempts: what counts as an answer, and how each failure is told apart.
+// Attempt: validates an endpoint's answer and classifies each failure.
 
 #include <algorithm>
 #include <array>
@@ -16,7 +16,8 @@
 constexpr int kStatusServerError = 500;
 constexpr int kStatusUnavailable = 503;
 
-// How the end of a connection ends an attempt. kWhole is judged by content.
+// Maps the end of an HTTP exchange to the outcome of the attempt. kWhole is not
+// listed: its outcome depends on the content.
 struct EndRow {
   HttpEnd end;
   AttemptOutcome outcome;
@@ -31,8 +32,9 @@
     EndRow{HttpEnd::kCancelled, AttemptOutcome::kCancelled},
 };
 
-// The endpoint's explicit word that it did not run the request. A 503 without
-// it may come from something in between, after the endpoint ran the request.
+// Whether the endpoint states explicitly that it did not run the request. A 503
+// without this statement may come from a proxy, after the endpoint has run the
+// request.
 bool SaysNotRun(int status, const std::string& body) {
   if (status != kStatusUnavailable) {
     return false;
@@ -96,7 +98,8 @@
   this->end.status = head.status;
   this->end.headers = head.headers;
   if (!this->IsMine(head)) {
-    this->End(AttemptOutcome::kWrongAnswer, "the answer bears another's id");
+    this->End(AttemptOutcome::kWrongAnswer,
+              "the answer has the id of another request or attempt, or none");
     return;
   }
   this->mode = this->ModeFor(head);
@@ -105,9 +108,10 @@
   }
 }
 
-// Two answers can be crossed by a proxy or by a fault in the endpoint. One
-// caller would then read another's. It shows in the echoed id alone, so an
-// answer without the echo is not accepted either.
+// Whether the answer belongs to this attempt. A proxy or a faulty endpoint can
+// swap two answers, and a caller would then receive another caller's answer.
+// Only the echoed ids reveal this, so an answer that does not echo the
+// request's id is rejected too.
 bool Attempt::IsMine(const HttpAnswerHead& head) const {
   if (!this->options.check_identity) {
     return true;
@@ -142,7 +146,8 @@
     if (this->received > this->options.max_whole_bytes) {
       this->End(AttemptOutcome::kWrongAnswer, "the answer is too long");
     } else if (!this->parser.Feed(bytes)) {
-      this->End(AttemptOutcome::kWrongAnswer, "an event is too long");
+      this->End(AttemptOutcome::kWrongAnswer,
+                "a server-sent event is too long");
     }
     return;
   }
@@ -171,7 +176,8 @@
   }
   if (this->options.check_identity &&
       !chunk->id.ends_with(this->call.request.Text())) {
-    this->End(AttemptOutcome::kWrongAnswer, "a chunk bears another's id");
+    this->End(AttemptOutcome::kWrongAnswer,
+              "a chunk has the id of another request, or none");
     return;
   }
   this->end.result.generated_tokens += chunk->has_output ? 1 : 0;
@@ -200,7 +206,7 @@
   this->End(row->outcome, detail);
 }
 
-// The transport delivered the whole body; what is it worth?
+// The outcome of an attempt whose answer arrived in full.
 AttemptOutcome Attempt::JudgeWhole() {
   if (this->mode == Mode::kPassOn) {
     return AttemptOutcome::kComplete;
@@ -242,8 +248,8 @@
   if (outcome == AttemptOutcome::kWrongAnswer) {
     this->metrics.Add("hickorystand_wrong_answers_total", 1);
   }
-  // After [DONE] the exchange runs on to the end of its transport, so that the
-  // connection can be used again. In all other cases nothing of it is wanted.
+  // After [DONE] the exchange continues to the end of its body, so that the
+  // connection can be reused. In all other cases the rest is discarded.
   if (outcome != AttemptOutcome::kComplete && this->exchange) {
     this->exchange->Cancel();
   }
--- a/packages/endpoints/completion_chunk.cc
+++ b/packages/endpoints/completion_chunk.cc
@@ -14,8 +14,8 @@
           .completion_tokens = usage.At("completion_tokens").Integer()};
 }
 
-// The generated text of a choice: a chat stream's, a whole chat answer's, or a
-// plain completion's.
+// The generated text of a choice, from a chat stream (delta.content), a whole
+// chat answer (message.content) or a text completion (text).
 Json TextOf(const Json& choice) {
   Json delta = choice.At("delta").At("content");
   if (delta.Exists()) {
--- a/packages/endpoints/completion_chunk.h
+++ b/packages/endpoints/completion_chunk.h
@@ -1,4 +1,8 @@
-// One piece of a completion as an engine sends it, in the OpenAI shape.
+// Parses one chunk of a completion, or a whole one, as sent by an engine in the
+// OpenAI format.
+//
+// Example:
+//   const Result<CompletionChunk> chunk = ParseCompletionChunk(event_data);
 
 #pragma once
 
@@ -10,21 +14,21 @@
 
 namespace hickorystand {
 
-// The token counts that an engine reports.
+// Token counts reported by an engine.
 struct CompletionUsage {
   int64_t prompt_tokens = 0;
   int64_t cached_tokens = 0;
-  int64_t completion_tokens = 0;  // of the whole answer, over all resumptions
+  int64_t completion_tokens = 0;  // of the whole answer, across resumptions
 
   bool operator==(const CompletionUsage&) const = default;
 };
 
-// What one event of a stream, or a whole answer, says.
+// The content of one stream event or of a whole answer.
 struct CompletionChunk {
   std::string id;
   std::string model;
   int64_t created = 0;
-  std::string content;        // text generated, of the first choice
+  std::string content;        // generated text of the first choice
   std::string finish_reason;  // empty: not finished
   bool has_output = false;    // counts as one token
   bool has_usage = false;
@@ -34,7 +38,8 @@
   bool operator==(const CompletionChunk&) const = default;
 };
 
-// Reads an event's data, or the body of a whole answer.
+// Parses an event's data or the body of a whole answer. Fails if it is not a
+// JSON object; missing members keep their defaults.
 Result<CompletionChunk> ParseCompletionChunk(std::string_view data);
 
 }  // namespace hickorystand
--- a/packages/endpoints/endpoint_client.cc
+++ b/packages/endpoints/endpoint_client.cc
@@ -130,7 +130,8 @@
               });
 }
 
-// A short GET whose answer must be whole and a success.
+// Sends a GET with the control timeouts. Succeeds only if the answer is
+// complete and has status 200.
 void EndpointClient::Fetch(
     const SocketAddress& address,
     std::string target,
--- a/packages/endpoints/endpoint_client.h
+++ b/packages/endpoints/endpoint_client.h
@@ -1,17 +1,25 @@
-// Talks to endpoints: engines of language services and plain services. What
-// each call may assume of the other side is written in docs/ENDPOINTS.md.
+// HTTP client for endpoints: the engines of language services, and plain
+// services. docs/ENDPOINTS.md specifies the protocol.
 //
-// An attempt accepts an answer only if it is whole and its own: the endpoint
-// echoes the request's id and the attempt's number, each chunk of a completion
-// bears the request's id, and the end marker is there. Anything else ends the
-// attempt as kWrongAnswer or kBroken, and none of it counts.
+// An attempt accepts an answer only if it is complete and its own: the endpoint
+// echoes the request's id and, if it sends one, the attempt's number; each
+// chunk of a completion carries the request's id; and the end marker is
+// present. Otherwise the attempt ends as kWrongAnswer or kBroken, and the
+// answer is not used.
 //
 // Index
 //   EndpointClientOptions   timeouts and limits
-//   AttemptCall             what is sent
-//   AttemptEvents           what is heard
-//   Attempt                 one try under way
-//   EndpointClient          starts attempts, and asks for load and caches
+//   AnswerShape             the form of an answer
+//   AttemptCall             the request of an attempt
+//   AttemptEnd              the result of an attempt
+//   AttemptEvents           callbacks of an attempt
+//   Attempt                 one attempt in progress
+//   EndpointClient          starts attempts; fetches load and cache changes
+//
+// Example:
+//   EndpointClient client(options, metrics);
+//   const AttemptPtr attempt = client.Start(
+//       std::move(call), {.on_end = [](const AttemptEnd& end) { ... }});
 
 #pragma once
 
@@ -30,65 +38,68 @@
 
 namespace hickorystand {
 
-// How endpoints are talked to.
 struct EndpointClientOptions {
   HttpClientOptions http;
-  // The largest completion that is taken from an engine.
+  // The largest completion accepted from an engine, in bytes.
   int64_t max_whole_bytes = int64_t{64} << 20;
-  // Calls that control an endpoint are short.
+  // Timeouts of control calls (load, cache events, health, cancel), which are
+  // short.
   HttpTimeouts control = {.connect = std::chrono::seconds(1),
                           .first_byte = std::chrono::seconds(2),
                           .between_bytes = std::chrono::seconds(2)};
-  // For the mutation test only: without it crossed answers pass.
+  // Whether echoed ids are checked. False only in the mutation test: swapped
+  // answers are then accepted.
   bool check_identity = true;
 };
 
-// What an answer must look like.
+// The expected form of an answer.
 enum class AnswerShape {
   kChunks,  // server-sent events of a completion, up to [DONE]
   kWhole,   // a completion as one JSON document
-  kBytes,   // a plain service's answer of any status, passed on as it comes
+  kBytes,   // a plain service's answer of any status, forwarded as received
 };
 
-// One request as it goes to one endpoint.
+// One request to one endpoint.
 struct AttemptCall {
   AttemptId attempt = 0;
   RequestId request;
   SocketAddress address;
   std::string method = "POST";
   std::string target;
-  HttpHeaders headers;  // of the caller, already stripped of credentials
+  HttpHeaders headers;  // of the caller, without credentials
   std::string content_type;
   std::string body;
   AnswerShape shape = AnswerShape::kChunks;
-  bool once = false;
-  bool batch = false;       // may wait behind interactive work
-  int64_t resume_from = 0;  // generated tokens that the caller already has
+  bool once = false;        // not idempotent: must not be sent twice
+  bool batch = false;       // low priority: may wait behind interactive work
+  int64_t resume_from = 0;  // generated tokens received so far
   HttpTimeouts timeouts;
   std::function<bool()> may_send;  // see HttpOutgoing
 };
 
-// How an attempt ended, and what a caller may have to be told.
+// The result of an attempt, with the answer to forward to the caller if there
+// is one.
 struct AttemptEnd {
   AttemptResult result;
   int status = 0;       // of the endpoint's answer, if there was one
-  HttpHeaders headers;  // ditto
-  std::string body;     // kWhole, and whatever an endpoint refused with
+  HttpHeaders headers;  // of that answer
+  std::string body;     // kWhole, and any refusal or error answer
   std::string detail;   // for the log
 };
 
-// Callbacks of an attempt's starter. on_end comes last, once.
+// Callbacks of an attempt. on_end is the last and is called once.
 struct AttemptEvents {
-  // kBytes: the head of an answer that will be passed on.
+  // kBytes: the status and headers of an answer to forward.
   std::function<void(const HttpAnswerHead&)> on_head;
   // kBytes: the next piece of the body.
   std::function<void(std::string_view)> on_bytes;
-  // kChunks: one event, as it came and as it was understood.
+  // kChunks: one event, as received and as parsed.
   std::function<void(std::string_view data, const CompletionChunk&)> on_chunk;
   std::function<void(const AttemptEnd&)> on_end;
 };
 
-// One try of a request at one endpoint.
+// One attempt to run a request at one endpoint. Started by EndpointClient;
+// every failure is reported through AttemptEvents::on_end.
 class Attempt : public std::enable_shared_from_this<Attempt> {
  public:
   Attempt(AttemptCall call,
@@ -98,10 +109,11 @@
   Attempt(const Attempt&) = delete;
   Attempt& operator=(const Attempt&) = delete;
 
-  // Abandons it: its connection is closed and on_end is not called.
+  // Cancels the attempt: closes its connection and makes no more callbacks.
   void Cancel();
 
-  // Lets the endpoint wait while the caller fetches too slowly, and goes on.
+  // Stops and resumes reading the endpoint's answer. Used for back pressure
+  // when the caller reads too slowly.
   void Pause();
   void Resume();
 
@@ -115,7 +127,7 @@
  private:
   friend class EndpointClient;
 
-  // What to do with an answer, once its head is known.
+  // How an answer is processed; determined by its status and the call's shape.
   enum class Mode { kChunks, kPassOn, kCollect };
 
   void Start(HttpClient& http);
@@ -144,37 +156,38 @@
 
 using AttemptPtr = std::shared_ptr<Attempt>;
 
-// Talks to all endpoints, on one task.
+// Starts attempts and sends control calls to any endpoint. Not thread-safe: use
+// it on one task. Fetches report failures through their callbacks.
 class EndpointClient {
  public:
   EndpointClient(EndpointClientOptions options, Metrics& metrics);
   EndpointClient(const EndpointClient&) = delete;
   EndpointClient& operator=(const EndpointClient&) = delete;
 
-  // Starts an attempt; events come later, never from within this call.
+  // Starts an attempt. Its events are never called from within this call.
   AttemptPtr Start(AttemptCall call, AttemptEvents events);
 
-  // Tells an engine that an attempt's answer isn't wanted any more. Closing
-  // the connection says so too, but some engines notice that only when they
-  // write. Nothing depends on whether this arrives.
+  // Cancels an attempt at an engine. Closing the connection cancels it as well,
+  // but some engines detect that only when they write. Best effort: nothing
+  // depends on whether the call arrives.
   void CancelAt(const SocketAddress& address,
                 const RequestId& request,
                 AttemptId attempt);
 
-  // Asks an engine for its load.
+  // Fetches the load of an engine.
   void FetchLoad(const EndpointId& endpoint,
                  const SocketAddress& address,
                  std::function<void(const Result<LoadReport>&)> done);
 
-  // Asks an engine for the changes of its prefix cache after a sequence
-  // number; 0 asks for a snapshot.
+  // Fetches the changes of an engine's prefix cache after a sequence number; 0
+  // requests a snapshot.
   void FetchCacheEvents(
       const EndpointId& endpoint,
       const SocketAddress& address,
       int64_t after,
       std::function<void(const Result<std::vector<CacheEvent>>&)> done);
 
-  // Asks whether an endpoint is up.
+  // Checks whether an endpoint is up: its health check answers 200 in time.
   void CheckHealth(const SocketAddress& address,
                    std::function<void(bool up)> done);
 
--- a/packages/endpoints/order_client.cc
+++ b/packages/endpoints/order_client.cc
@@ -60,7 +60,7 @@
 
 }  // namespace
 
-// An endpoint's answer, or how the exchange ended without one.
+// An endpoint's answer, or how the exchange ended if there is none.
 struct OrderClient::Answer {
   HttpEnd end = HttpEnd::kNotSent;
   int status = 0;
@@ -73,8 +73,9 @@
 OrderClient::OrderClient(HttpTimeouts timeouts)
     : timeouts(timeouts), http({.timeouts = timeouts}) {}
 
-// An answer that is neither a success nor a refusal leaves open whether the
-// endpoint took the order; the coordinator then reads back by the order's id.
+// If the answer is neither a success nor a refusal, the endpoint may have
+// accepted the order. Its state is then kUnknown, and the coordinator lists the
+// endpoint's orders and looks for the order's id.
 void OrderClient::Send(const SocketAddress& address,
                        const EndpointOrder& order,
                        std::function<bool()> may_send,
--- a/packages/endpoints/order_client.h
+++ b/packages/endpoints/order_client.h
@@ -1,5 +1,19 @@
-// Sends orders to endpoints, under the fencing number of whoever holds the
-// data centre's lease.
+// Sends orders to endpoints, with the fencing number of the holder of the data
+// centre's lease.
+//
+// Index
+//   EndpointOrder     an order
+//   OrderState        the state of an order
+//   OrderAnswer       the answer to an order
+//   OrderAtEndpoint   an order in an endpoint's list
+//   EndpointOrders    an endpoint's list of orders
+//   OrderClient       sends and lists orders
+//
+// Example:
+//   OrderClient client;
+//   client.Send(address, {.id = id, .fencing = fencing, .kind = kind},
+//               [&] { return lease_is_held; },
+//               [](const OrderAnswer& answer) { ... });
 
 #pragma once
 
@@ -13,9 +27,9 @@
 
 namespace hickorystand {
 
-// One order as it goes over the wire; see docs/ENDPOINTS.md for the kinds.
+// One order as sent over the wire; docs/ENDPOINTS.md lists the kinds.
 struct EndpointOrder {
-  std::string id;  // the same order sent again bears the same id
+  std::string id;  // a repeated order keeps its id
   int64_t fencing = 0;
   std::string kind;
   std::string argument;
@@ -23,27 +37,27 @@
   auto operator<=>(const EndpointOrder&) const = default;
 };
 
-// What is known about an order after it was sent.
+// The known state of an order.
 enum class OrderState {
-  kAccepted,  // the endpoint has it, and will carry it out
+  kAccepted,  // the endpoint has recorded it and will execute it
   kRunning,
   kDone,
-  kStale,    // refused: the endpoint has seen a higher fencing number
-  kRefused,  // refused for another reason; has no effect
-  kNotSent,  // no byte of it left this process
-  kUnknown,  // sent, and no answer came: it may take effect
+  kStale,    // refused: the endpoint has received a higher fencing number
+  kRefused,  // refused for another reason, without effect
+  kNotSent,  // no byte of it was sent
+  kUnknown,  // sent, but no usable answer was received: it may take effect
 };
 
 // The answer to an order.
 struct OrderAnswer {
   OrderState state = OrderState::kUnknown;
-  int64_t highest_fencing = 0;  // that the endpoint has seen, if it said so
+  int64_t highest_fencing = 0;  // received by the endpoint; 0 if not reported
   std::string detail;
 
   bool operator==(const OrderAnswer&) const = default;
 };
 
-// One order as an endpoint remembers it.
+// One order in an endpoint's list.
 struct OrderAtEndpoint {
   std::string id;
   int64_t fencing = 0;
@@ -52,7 +66,7 @@
   auto operator<=>(const OrderAtEndpoint&) const = default;
 };
 
-// All that an endpoint remembers of its orders.
+// An endpoint's list of orders and the highest fencing number it has received.
 struct EndpointOrders {
   int64_t highest_fencing = 0;
   std::vector<OrderAtEndpoint> orders;
@@ -60,7 +74,8 @@
   bool operator==(const EndpointOrders&) const = default;
 };
 
-// Talks to endpoints about orders, on one task.
+// Sends orders to endpoints and lists them. Not thread-safe: use it on one
+// task. Never retries; the caller lists the orders to resolve an unknown state.
 class OrderClient {
  public:
   explicit OrderClient(HttpTimeouts timeouts = {
@@ -68,15 +83,16 @@
                            .first_byte = std::chrono::seconds(3),
                            .between_bytes = std::chrono::seconds(3)});
 
-  // Sends an order once, on a connection of its own. `may_send` is asked in
-  // the same step that hands the bytes to the socket; if it says no, the reply
-  // is kNotSent. The holder of a lease passes the check that it still holds it.
+  // Sends an order once, on a connection of its own. `may_send` is called
+  // immediately before the bytes are handed to the socket, in the same step; if
+  // it returns false, the order ends as kNotSent. The lease holder passes a
+  // check that it still holds the lease.
   void Send(const SocketAddress& address,
             const EndpointOrder& order,
             std::function<bool()> may_send,
             std::function<void(const OrderAnswer&)> done);
 
-  // Asks an endpoint which orders it has.
+  // Fetches an endpoint's list of orders.
   void List(const SocketAddress& address,
             std::function<void(const Result<EndpointOrders>&)> done);
 
--- a/packages/endpoints/prompt.cc
+++ b/packages/endpoints/prompt.cc
@@ -7,7 +7,7 @@
 namespace hickorystand {
 namespace {
 
-// Text of a message's content, which is text or a list of parts.
+// The text of a message's content, which is either a string or a list of parts.
 std::string ContentText(const Json& content) {
   if (content.IsText()) {
     return content.Text();
--- a/packages/endpoints/prompt.h
+++ b/packages/endpoints/prompt.h
@@ -1,5 +1,6 @@
-// The text of a prompt, as both sides of the engine protocol see it: how many
-// tokens it will cost, and by which hashes its prefixes are known.
+// The text of a prompt, its estimated tokens, and the hashes of its prefixes.
+// Gateway and engines must compute the same hashes, since engines report the
+// contents of their prefix caches by hash.
 
 #pragma once
 
@@ -12,24 +13,25 @@
 
 namespace hickorystand {
 
-// Bytes of UTF-8 text that count as one token. A tokenizer would be exact, but
-// each model has its own; a request's cost is corrected by the engine's count
-// when it ends. Four bytes are about right for English, and too many for
-// languages written with several bytes a letter, whose cost is so guessed low
-// by up to a half at admission.
+// Bytes of UTF-8 text that are estimated as one token. A tokenizer would be
+// exact, but each model has its own; the engine's count replaces the estimate
+// when the request ends. 4 bytes are about right for English. For languages
+// with several bytes per letter they are too many, and the cost at admission is
+// underestimated by up to a half.
 inline constexpr int64_t kBytesPerToken = 4;
 
-// Bytes of prompt text in one piece of a prefix cache's index.
+// Bytes of prompt text in one piece (block) of a prefix cache's index.
 inline constexpr int64_t kPieceBytes = 1024;
 
-// The text of a chat's messages (role and text of each) or of a completion's
-// prompt, in order.
+// The text of a chat request's messages (role and content of each, in order) or
+// of a text completion's prompt.
 std::string PromptText(const Json& body);
 
-// The estimated tokens of a text.
+// The estimated number of tokens of a text, rounded up.
 int64_t EstimateTokens(std::string_view text);
 
-// XXH3-64 of each prefix that ends at a whole piece, shortest first.
+// The XXH3-64 hash of each prefix that consists of whole pieces, shortest
+// first. A remainder shorter than kPieceBytes is not hashed.
 std::vector<uint64_t> PrefixHashes(std::string_view text);
 
 }  // namespace hickorystand
--- a/packages/endpoints/sse.cc
+++ b/packages/endpoints/sse.cc
@@ -34,8 +34,8 @@
   return this->line.size() + this->data.size() <= this->max_event_bytes;
 }
 
-// Fields other than "data", and comments, which begin with a colon, say
-// nothing that is needed here.
+// Ignores fields other than "data", and comments, which begin with a colon:
+// neither is needed here.
 void SseParser::TakeLine(std::string_view text) {
   constexpr std::string_view kField = "data:";
   if (text.empty()) {
--- a/packages/endpoints/sse.h
+++ b/packages/endpoints/sse.h
@@ -1,4 +1,9 @@
-// Server-sent events, read from bytes that come in pieces of any size.
+// Parses and writes server-sent events.
+//
+// Index
+//   SseParser   incremental parser
+//   SseEvent    writes one event
+//   kSseDone    the end marker of a completion stream
 
 #pragma once
 
@@ -9,16 +14,17 @@
 
 namespace hickorystand {
 
-// Splits a byte stream into events and hands out the data of each.
+// Splits a byte stream, which may arrive in pieces of any size, into events and
+// calls `on_data` with the data of each.
 class SseParser {
  public:
   using OnData = std::function<void(std::string_view data)>;
 
   explicit SseParser(OnData on_data, size_t max_event_bytes = size_t{1} << 20);
 
-  // Takes the next bytes. False when an event is over its limit; then the
-  // stream can't be read on. A sender that never ends its event would
-  // otherwise fill the memory.
+  // Parses the next bytes. Returns false if an event exceeds its size limit;
+  // parsing can't continue then. Without the limit, a sender that never ends an
+  // event would exhaust the memory.
   bool Feed(std::string_view bytes);
 
  private:
@@ -27,16 +33,16 @@
 
   OnData on_data;
   size_t max_event_bytes;
-  std::string line;  // begun but not ended
-  std::string data;  // of the event so far
+  std::string line;  // incomplete line
+  std::string data;  // of the incomplete event
   bool has_data = false;
-  bool after_return = false;  // a line feed now belongs to the last line's end
+  bool after_return = false;  // a line feed now completes a CR LF
 };
 
-// The data as one event in the wire format. It must not hold a line feed.
+// Formats one event. The data must not contain a line break.
 std::string SseEvent(std::string_view data);
 
-// The data of the event that ends a stream of completions.
+// The data of the event that ends a completion stream.
 inline constexpr std::string_view kSseDone = "[DONE]";
 
 }  // namespace hickorystand
--- a/packages/gateway/decision_log.cc
+++ b/packages/gateway/decision_log.cc
@@ -21,7 +21,7 @@
 };
 
 constexpr std::array kKindTexts = {
-    KindText{DispatchKind::kClaim, "Claim asked for."},
+    KindText{DispatchKind::kClaim, "Claim requested."},
     KindText{DispatchKind::kSend, "Endpoint chosen."},
     KindText{DispatchKind::kCancel, "Attempt cancelled."},
     KindText{DispatchKind::kFinish, "Request finished."},
--- a/packages/gateway/request_driver.cc
+++ b/packages/gateway/request_driver.cc
@@ -12,13 +12,14 @@
 namespace hickorystand {
 namespace {
 
-// Outcomes after which it is certain that the endpoint did not run anything.
+// Whether the endpoint certainly did not run the request.
 bool SurelyNotRun(AttemptOutcome outcome) {
   return outcome == AttemptOutcome::kNotSent ||
          outcome == AttemptOutcome::kRefused;
 }
 
-// Another host takes the request at once.
+// Retry-After while this host shuts down. Short, since another host can accept
+// the request at once.
 constexpr Duration kRetryElsewhere = std::chrono::seconds(1);
 
 AnswerKind KindOf(const IncomingRequest& incoming) {
@@ -27,7 +28,8 @@
                         request.output_tokens);
 }
 
-// What may wait leaves tokens to what somebody waits for.
+// The priority of a token request; lower numbers are served first. Batch
+// requests leave tokens to interactive ones.
 int64_t LimitPriority(const Request& request) {
   return request.request_class == RequestClass::kBatch ? 1 : 0;
 }
@@ -162,7 +164,7 @@
                                verdict.retry_after}}});
 }
 
-// Gives back the tokens of a request that no endpoint can have run.
+// Returns the tokens of a request that no endpoint can have run.
 void RequestDriver::SettleTokens(const LiveRequest& live) {
   const Request& request = live.incoming.request;
   if (live.charge.asked) {
@@ -219,7 +221,7 @@
 }
 
 void RequestDriver::EndNow(const RequestId& id) {
-  assert(!this->applying && "final answers aren't given within Apply()");
+  assert(!this->applying && "must not be called from within Apply()");
   LiveRequest& live = this->live.at(id);
   live.incoming.call->OnGone({});
   live.may_have_run |= AnyMayHaveSent(live);
@@ -281,8 +283,9 @@
   this->CheckDrained();
 }
 
-// The request was answered, or its caller went, after this was decided. The
-// dispatcher still waits for the end of an attempt that it asked for.
+// Drops an action whose request was answered, or whose caller disconnected,
+// after the dispatcher decided on it. The dispatcher still expects the result
+// of each attempt that it started.
 void RequestDriver::Skip(const Dispatch& action) {
   if (action.kind == DispatchKind::kSend) {
     this->Apply(this->dispatcher->OnResult(
@@ -296,9 +299,9 @@
   return found == this->live.end() ? nullptr : &found->second;
 }
 
-// A key that was good on arrival may have been revoked while the request
-// waited; without this check the account's queue would still be worked off.
-// Requests that run already are finished.
+// Checks the key again when a request starts, since it may have been revoked
+// while the request was queued; otherwise the account's queued requests would
+// still run. Requests that are already running are completed.
 bool RequestDriver::Permitted(LiveRequest& live) {
   if (live.permitted || !this->options.check_keys_again) {
     return true;
@@ -318,7 +321,8 @@
 void RequestDriver::RefuseUnstarted(const RequestId& id,
                                     std::string reason,
                                     Error error) {
-  assert(this->applying && "the request is refused after this action");
+  assert(this->applying &&
+         "must be called from within Apply(), which refuses the request");
   this->Apply({{.kind = DispatchKind::kRefuse,
                 .request = id,
                 .reason = std::move(reason),
@@ -326,8 +330,9 @@
   this->Apply(this->dispatcher->OnCallerGone(this->clock.Now(), id));
 }
 
-// Whether an answer that begins now is whole before the process ends. For kinds
-// without recent answers, the limit of the first byte stands for the estimate.
+// Whether a request that starts now is expected to be answered in full before
+// the process ends. For kinds of requests without recent answers, the service's
+// deadline is used as the estimate.
 bool RequestDriver::FinishesInTime(const LiveRequest& live) const {
   if (!this->ends_at) {
     return true;
@@ -400,7 +405,7 @@
   if (LiveRequest* live = this->Find(id)) {
     live->claimed = result == ClaimResult::kGranted;
   } else if (result == ClaimResult::kGranted && this->hooks.release_claim) {
-    this->hooks.release_claim(id);  // the caller went while it was made
+    this->hooks.release_claim(id);  // the caller disconnected meanwhile
   }
   this->Apply(this->dispatcher->OnClaim(this->clock.Now(), id, result));
 }
@@ -409,15 +414,16 @@
   LiveRequest& live = *this->Find(action.request);
   assert((!IsOnce(live.incoming.request) ||
           (live.claimed && !live.may_have_run && live.attempts.empty())) &&
-         "a non-idempotent request is claimed, and sent where it surely did "
-         "not run before");
+         "a non-idempotent request is sent only while it is claimed and "
+         "certainly has not run");
   if (!this->Permitted(live)) {
     this->Skip(action);
     return;
   }
   if (live.attempts.empty() && !live.may_have_run &&
       !this->FinishesInTime(live)) {
-    this->RefuseUnstarted(action.request, "can't be finished before the stop",
+    this->RefuseUnstarted(action.request,
+                          "can't be finished before the shutdown",
                           ErrorAtEnd(live));
     this->Skip(action);
     return;
@@ -463,8 +469,9 @@
           .may_send = this->PermissionToSend(incoming.request)};
 }
 
-// A host that was paused between claim and send may wake after its claim has
-// expired and another host has run the request.
+// Checks the claim again at the time of sending: a process that was paused
+// between claim and send may resume after its claim has expired and another
+// host has run the request.
 std::function<bool()> RequestDriver::PermissionToSend(
     const Request& request) const {
   if (!IsOnce(request) || !this->hooks.may_send) {
@@ -506,8 +513,9 @@
   }
 }
 
-// Lets go of an attempt. One of a non-idempotent request runs on unheard:
-// cutting it off would only make its outcome unknown.
+// Cancels an attempt whose answer is no longer needed. An attempt of a
+// non-idempotent request is left running, since closing its connection would
+// only make its outcome unknown.
 void RequestDriver::Abandon(LiveRequest& live, AttemptId attempt) {
   const auto found = live.attempts.find(attempt);
   if (found == live.attempts.end() || IsOnce(live.incoming.request)) {
@@ -543,12 +551,13 @@
                     {{"code", std::string(AnswerFor(error.kind).code)}});
   assert((!AnswerFor(error.kind).not_run || !live.may_have_run ||
           !IsOnce(live.incoming.request)) &&
-         "'not run' is said only of what surely did not run");
+         "'not run' is reported only if the request certainly did not run");
   live.incoming.relay->Fail(error);
   this->Forget(action.request);
 }
 
-// A caller who is told that the outcome is unknown is told where to look.
+// Adds the path at which the caller can look up the outcome to an error that
+// reports the outcome as unknown.
 Error RequestDriver::WithLookUp(Error error, const LiveRequest& live) const {
   const ServiceId& id = live.incoming.request.service;
   const auto service = this->configuration->services.find(id);
@@ -580,8 +589,9 @@
   }
 }
 
-// Lets attempts of a non-idempotent request go on, but for those of which
-// nothing was sent: their caller is told that the request hasn't run.
+// Leaves the attempts of a non-idempotent request running, except those of
+// which no byte was sent: their caller receives an error that states that the
+// request has not run.
 void RequestDriver::DetachAttempts(const LiveRequest& live) {
   for (const auto& [id, run] : live.attempts) {
     if (run.attempt->MayHaveSent()) {
@@ -592,8 +602,9 @@
   }
 }
 
-// A claim of a request that didn't run must not keep the caller from sending
-// it again; one of a request that may have run must.
+// Releases the claim of a request that did not run, so that the caller can send
+// it again. The claim of a request that may have run is kept, so that it can't
+// run twice.
 void RequestDriver::SettleClaim(const LiveRequest& live) {
   const auto& settle =
       live.may_have_run ? this->hooks.claim_used : this->hooks.release_claim;
@@ -640,7 +651,8 @@
   this->Throttle(*live, attempt);
 }
 
-// Once part of one attempt's answer has been passed on, its hedge is useless.
+// Abandons the other attempts (hedges) once part of one attempt's answer has
+// been forwarded: no other attempt can continue that answer.
 void RequestDriver::Bind(LiveRequest& live) {
   const AttemptId bound = live.incoming.relay->BoundTo();
   if (bound == 0 || live.attempts.size() < 2) {
@@ -660,8 +672,9 @@
   }
 }
 
-// A caller that fetches slowly slows its endpoint down instead of filling this
-// host's memory.
+// Applies back pressure: while the caller reads slowly, reading from the
+// endpoint is paused. Otherwise the answer would accumulate in this host's
+// memory.
 void RequestDriver::Throttle(LiveRequest& live, AttemptId attempt) {
   if (!live.incoming.call->Congested()) {
     return;
@@ -697,8 +710,9 @@
       end.result.outcome == AttemptOutcome::kRejected) {
     live->last_end = end;
   } else if (live->incoming.relay->BoundTo() == attempt) {
-    // Part of this attempt's answer is with the caller, and no other attempt
-    // can go on from there: cut the connection, so that the caller knows.
+    // Part of this attempt's answer was already sent to the caller, and no
+    // other attempt can continue it. Closing the connection early shows the
+    // caller that the answer is incomplete.
     live->incoming.call->Abort();
     this->Apply(this->dispatcher->OnResult(this->clock.Now(), result));
     return;
@@ -713,9 +727,9 @@
   }
 }
 
-// The prompt is billed once, with the first attempt that brought anything, and
-// generated tokens as they were delivered: work that was lost with an endpoint
-// is not the account's.
+// Bills an attempt. The prompt is billed once, with the first attempt that
+// delivered anything; generated tokens are billed as delivered, so that an
+// account does not pay for work lost with a failed endpoint.
 void RequestDriver::Bill(LiveRequest& live,
                          const RunningAttempt& run,
                          const AttemptEnd& end) {
--- a/packages/gateway/request_driver.h
+++ b/packages/gateway/request_driver.h
@@ -1,11 +1,12 @@
-// Carries out what the dispatcher decides: asks for claims, runs attempts at
-// endpoints, and lets each request's relay answer its caller.
+// Executes the decisions of the dispatcher: requests claims, runs attempts at
+// endpoints, and has each request's relay answer the caller.
 //
 // Index
-//   UsageRecord       what the driver tells the rest of the host
-//   RequestHooks      how it tells and asks
-//   IncomingRequest   a request whose key was good
-//   RequestDriver     all live requests of this host
+//   UsageRecord            the billable tokens of one attempt
+//   RequestHooks           functions that the rest of the host provides
+//   IncomingRequest        an authenticated request
+//   RequestDriverOptions   the options of a driver
+//   RequestDriver          all live requests of this host
 
 #pragma once
 
@@ -29,7 +30,8 @@
 
 namespace hickorystand {
 
-// What an account is to be billed for one attempt: what its caller was given.
+// What an account is billed for one attempt: the tokens that were delivered to
+// its caller.
 struct UsageRecord {
   AccountId account;
   ServiceId service;
@@ -42,40 +44,43 @@
   auto operator<=>(const UsageRecord&) const = default;
 };
 
-// The rest of the host, as the driver sees it. All are called on its task.
+// Functions that the rest of the host provides. All are called on the driver's
+// task.
 struct RequestHooks {
-  // Records a claim; `done` may be called at once or later, on this task.
-  // Without this hook no non-idempotent request runs.
+  // Records a claim. Must call `done` on this task, either before it returns or
+  // later. Without this hook all non-idempotent requests are refused.
   std::function<void(const ClaimRequest&, std::function<void(ClaimResult)>)>
       claim;
-  // Whether a claimed request may still be sent; asked in the same step that
-  // hands its bytes to the socket.
+  // Returns whether a claimed request may still be sent. Called immediately
+  // before its bytes are handed to the socket, in the same step.
   std::function<bool(const RequestId&)> may_send;
-  // A claimed request was sent, whatever comes of it.
+  // Reports that a claimed request was sent and may have run, regardless of its
+  // outcome.
   std::function<void(const RequestId&)> claim_used;
-  // A claimed request surely didn't run and won't; the claim is given back, so
+  // Releases the claim of a request that certainly did not run and will not, so
   // that the caller may send it again.
   std::function<void(const RequestId&)> release_claim;
   std::function<void(const UsageRecord&)> usage;
-  // Takes a request's tokens from its account's limit; `done` may be called at
-  // once or later, on this task. Without this hook no account is limited.
+  // Takes a request's tokens from its account's limit. Must call `done` on this
+  // task, either before it returns or later, unless the request is cancelled.
+  // Without this hook no account is limited.
   std::function<void(const RequestId&,
                      const LimitAsk&,
                      std::function<void(const LimitDecision&)>)>
       take_tokens;
-  // The tokens aren't needed any more; `done` may still be called.
+  // Cancels a pending take_tokens; its `done` may still be called.
   std::function<void(const RequestId&)> cancel_tokens;
-  // Tokens of a request that surely hasn't run. The unit is that of the limit
-  // under which they were taken.
+  // Returns the tokens of a request that certainly has not run. The unit is
+  // that of the limit from which they were taken.
   std::function<void(const AccountId&, LimitUnit, int64_t cost)>
       give_back_tokens;
 };
 
-// A request that is to be dispatched, with all that its attempts need.
+// An authenticated request to dispatch, with everything its attempts need.
 struct IncomingRequest {
   Request request;
   std::string key_hash;
-  std::string claim_key;  // kOnce only
+  std::string claim_key;  // RequestClass::kOnce only
   HttpCallPtr call;
   std::unique_ptr<Relay> relay;
   std::string method = "POST";
@@ -86,17 +91,18 @@
   HttpTimeouts timeouts;
 };
 
-// How a driver is made.
 struct RequestDriverOptions {
   HostId host;
   EndpointClientOptions endpoints;
   size_t remembered_decisions = 8192;
-  // For the mutation test only: without it a revoked key's queued requests
-  // still run.
+  // Whether keys are checked again when a request starts. False only in the
+  // mutation test: the queued requests of a revoked key then still run.
   bool check_keys_again = true;
 };
 
-// All requests of one host, from their arrival until they are answered.
+// Runs all requests of one host, from their arrival until they are answered.
+// Not thread-safe: create, use and destroy it on one task. Failures are
+// reported to the caller through the request's relay.
 class RequestDriver {
  public:
   RequestDriver(RequestDriverOptions options,
@@ -110,25 +116,29 @@
   void SetHooks(RequestHooks hooks) { this->hooks = std::move(hooks); }
   void ApplyConfiguration(ConfigurationPtr next);
 
-  // Takes a request over.
+  // Starts a request: takes the tokens from its account's limit, then hands it
+  // to the dispatcher.
   void Take(IncomingRequest incoming);
 
-  // News for the dispatcher.
+  // Events that are forwarded to the dispatcher.
   void OnLoad(const LoadReport& report);
   void OnCache(const CacheEvent& event);
   void OnDigest(const Digest& digest);
   void OnHostGone(const HostId& host);
   void Tick();
 
-  // The process may end at `at`: requests whose answers wouldn't be whole by
-  // then are refused from now on, those that wait among them.
+  // Sets the time at which the process may end. From now on requests that are
+  // not expected to be answered in full by then are refused, including queued
+  // ones.
   void SetEnd(Instant at) { this->ends_at = at; }
 
-  // Takes nothing new; calls back when nothing is left, at once if need be.
+  // Refuses new requests. `on_drained` is called when no request is left,
+  // before this returns if there is none.
   void StartDrain(std::function<void()> on_drained);
 
-  // Gives every request its final answer now: not run where no byte has left
-  // for an endpoint, else an error that says that the answer is lost.
+  // Gives every request its final answer now: an error that states that it did
+  // not run if no byte of it was sent to an endpoint, otherwise an error that
+  // states that the answer is lost.
   void EndAll();
 
   void FillDigest(Digest& digest) const {
@@ -149,12 +159,12 @@
     Instant started{};
   };
 
-  // What a request counts against its account's limit.
+  // The tokens that a request takes from its account's limit.
   struct TokenCharge {
     LimitUnit unit = LimitUnit::kTokens;
     int64_t cost = 0;
-    bool asked = false;  // not decided yet
-    bool held = false;
+    bool asked = false;  // take_tokens is pending
+    bool held = false;   // granted
   };
 
   struct LiveRequest {
@@ -163,10 +173,10 @@
     std::map<AttemptId, RunningAttempt> attempts;
     AttemptEnd last_end;
     Instant first_sent{};
-    bool permitted = false;  // its key was checked when it started
+    bool permitted = false;  // its key was still valid when it started
     bool claimed = false;
     bool may_have_run = false;
-    bool abandoned_may_have_run = false;  // an abandoned attempt may have run
+    bool abandoned_may_have_run = false;  // by an abandoned attempt
     bool prompt_billed = false;
     bool caller_gone = false;
   };
@@ -178,7 +188,8 @@
   };
   static const ActionRow kActions[];
 
-  // Actions that lead to further actions are carried out one after another.
+  // Executes actions in order. Actions that result from them are appended to
+  // the queue rather than executed recursively.
   void Apply(DispatchList actions);
 
   void Claim(const Dispatch& action);
@@ -228,7 +239,7 @@
   void EndNow(const RequestId& id);
   static Error ErrorAtEnd(const LiveRequest& live);
 
-  // Whether an attempt under way may have reached its endpoint.
+  // Whether a running attempt may have reached its endpoint.
   static bool AnyMayHaveSent(const LiveRequest& live);
 
   RequestDriverOptions options;
@@ -241,7 +252,7 @@
   ConfigurationPtr configuration = std::make_shared<Configuration>();
   AccountLimits limits;
   std::map<RequestId, LiveRequest> live;
-  // Attempts of non-idempotent requests that run on after their final answer.
+  // Attempts of non-idempotent requests that continue after the final answer.
   std::vector<AttemptPtr> detached;
   std::deque<Dispatch> pending;
   bool applying = false;
@@ -249,7 +260,7 @@
   AnswerTimes answer_times;  // from the first send to the end of the answer
   std::optional<Instant> ends_at;
   std::function<void()> on_drained;
-  // Lets callbacks that come after the driver's end do nothing.
+  // Makes callbacks that arrive after the driver's destruction do nothing.
   std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 };
 
