--- a/packages/endpoints/order_client.h
+++ b/packages/endpoints/order_client.h
@@ -75,7 +75,7 @@
 };
 
 // Sends orders to endpoints and lists them. Not thread-safe: use it on one
-// task. Never retries; the caller lists the orders to resolve an unknown state.
+// task. Send() never retries; the caller lists the orders to resolve kUnknown.
 class OrderClient {
  public:
   explicit OrderClient(HttpTimeouts timeouts = {
--- a/packages/gateway/decision_log.h
+++ b/packages/gateway/decision_log.h
@@ -38,10 +38,9 @@
 // the limit that this host held when it was decided.
 struct LimitDecision {
   LimitVerdict verdict;
-  double share = 0;  // fraction of each limit held here
-  std::optional<Duration>
-      share_age;                 // since its last confirmation; empty: none
-  int64_t holders_revision = 0;  // revision of the share holders record
+  double share = 0;                   // fraction of each limit held here
+  std::optional<Duration> share_age;  // since last confirmed; empty: none
+  int64_t holders_revision = 0;       // revision of the share holders record
 
   bool operator==(const LimitDecision&) const = default;
 };
--- a/packages/gateway/relay.cc
+++ b/packages/gateway/relay.cc
@@ -169,7 +169,8 @@
 // -- Plain services ----------------------------------------------------------
 
 // Buffers the answer of each attempt until one is complete, or until one
-// exceeds `hold_bytes`; that one is streamed to the caller from then on.
+// exceeds `max_buffered_bytes`; that one is streamed to the caller from then
+// on.
 class BytesRelay final : public Relay {
  public:
   BytesRelay(HttpCallPtr call, RequestId request, const RelayOptions& options)
