--- a/packages/gateway/completion_body.cc
+++ b/packages/gateway/completion_body.cc
@@ -179,9 +179,9 @@
   if (!json) {
     return tl::unexpected(json.error());
   }
-  const Result<void> typed = CheckTypes(*json, kind);
-  if (!typed) {
-    return tl::unexpected(typed.error());
+  const Result<void> checked = CheckTypes(*json, kind);
+  if (!checked) {
+    return tl::unexpected(checked.error());
   }
   const std::string prompt = PromptText(*json);
   const std::string tier = json->At("service_tier").Text();
--- a/packages/gateway/endpoint_watcher.cc
+++ b/packages/gateway/endpoint_watcher.cc
@@ -28,11 +28,11 @@
 
 void EndpointWatcher::ApplyConfiguration(ConfigurationPtr next) {
   this->configuration = std::move(next);
-  const auto gone = [this](const auto& entry) {
+  const auto removed = [this](const auto& entry) {
     return !this->configuration->endpoints.contains(entry.first);
   };
-  std::erase_if(this->positions, gone);
-  std::erase_if(this->load_asked, gone);
+  std::erase_if(this->positions, removed);
+  std::erase_if(this->load_asked, removed);
 }
 
 void EndpointWatcher::ForEachEngine(
--- a/packages/gateway/gateway.cc
+++ b/packages/gateway/gateway.cc
@@ -226,23 +226,23 @@
 }
 
 void Gateway::HandleChat(const HttpCallPtr& call, const RequestId& id) {
-  const Result<void> taken = this->Complete(call, id, CompletionKind::kChat);
-  if (!taken) {
-    this->Refuse(call, id, taken.error());
+  const Result<void> accepted = this->Complete(call, id, CompletionKind::kChat);
+  if (!accepted) {
+    this->Refuse(call, id, accepted.error());
   }
 }
 
 void Gateway::HandleText(const HttpCallPtr& call, const RequestId& id) {
-  const Result<void> taken = this->Complete(call, id, CompletionKind::kText);
-  if (!taken) {
-    this->Refuse(call, id, taken.error());
+  const Result<void> accepted = this->Complete(call, id, CompletionKind::kText);
+  if (!accepted) {
+    this->Refuse(call, id, accepted.error());
   }
 }
 
 void Gateway::HandleService(const HttpCallPtr& call, const RequestId& id) {
-  const Result<void> taken = this->CallService(call, id);
-  if (!taken) {
-    this->Refuse(call, id, taken.error());
+  const Result<void> accepted = this->CallService(call, id);
+  if (!accepted) {
+    this->Refuse(call, id, accepted.error());
   }
 }
 
--- a/packages/gateway/request_driver.cc
+++ b/packages/gateway/request_driver.cc
@@ -87,9 +87,9 @@
       this->OnCallerGone(id);
     }
   });
-  const auto [where, fresh] =
+  const auto [where, inserted] =
       this->live.emplace(id, LiveRequest{.incoming = std::move(incoming)});
-  assert(fresh && "request ids are unique");
+  assert(inserted && "request ids are unique");
   const auto limit = this->limits.find(request.account);
   if (limit != this->limits.end() && this->hooks.take_tokens &&
       this->MayStart(where->second)) {
@@ -361,9 +361,9 @@
         !request.attempts.empty()) {
       continue;
     }
-    const auto [kind, fresh] =
+    const auto [kind, inserted] =
         in_time.try_emplace(KindOf(request.incoming), true);
-    if (fresh) {
+    if (inserted) {
       kind->second = this->FinishesInTime(request);
     }
     if (!kind->second) {
