--- a/packages/gateway/completion_body.h
+++ b/packages/gateway/completion_body.h
@@ -34,7 +34,7 @@
 // there, and the engine would receive less than the caller sent.
 Result<void> CheckJsonShape(std::string_view text, const JsonLimits& limits);
 
-// The two completion endpoints: /v1/chat/completions and /v1/completions.
+// The two completion calls: /v1/chat/completions and /v1/completions.
 enum class CompletionKind { kChat, kText };
 
 // A parsed completion request.
