--- a/packages/http/glib_ptr.h
+++ b/packages/http/glib_ptr.h
@@ -1,4 +1,4 @@
-// Owning pointers for what GLib, libsoup and json-glib hand out.
+// Owning smart pointers for the objects of GLib, libsoup and json-glib.
 
 #pragma once
 
@@ -8,29 +8,29 @@
 
 namespace hickorystand {
 
-// Drops one reference of a GObject.
+// Deleter that releases one reference to a GObject.
 struct ObjectUnref {
   void operator()(gpointer object) const { g_object_unref(object); }
 };
 
-// One reference of a GObject.
+// Owns one reference to a GObject.
 template <typename T>
 using ObjectPtr = std::unique_ptr<T, ObjectUnref>;
 
-// Takes a further reference of an object that somebody else owns.
+// Takes an additional reference to an object that has another owner.
 template <typename T>
 ObjectPtr<T> ShareObject(T* object) {
   return ObjectPtr<T>(static_cast<T*>(g_object_ref(object)));
 }
 
-// Releases a GError.
+// Deleter for a GError.
 struct ErrorFree {
   void operator()(GError* error) const { g_error_free(error); }
 };
 
 using ErrorPtr = std::unique_ptr<GError, ErrorFree>;
 
-// Drops one reference of a GBytes.
+// Deleter that releases one reference to a GBytes.
 struct BytesUnref {
   void operator()(GBytes* bytes) const { g_bytes_unref(bytes); }
 };
--- a/packages/http/http1_parser.cc
+++ b/packages/http/http1_parser.cc
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-// One message being read.
+// Parser of a single message.
 class Http1Parser::Engine {
  public:
   virtual ~Engine() = default;
@@ -75,7 +75,7 @@
                      string_view value,
                      error_code& error) override {
     error = {};
-    if (!this->head_over) {  // what follows the body is dropped
+    if (!this->head_over) {  // trailers after the body are ignored
       this->head.headers.push_back(
           {.name = std::string(View(name)), .value = std::string(View(value))});
     }
--- a/packages/http/http1_parser.h
+++ b/packages/http/http1_parser.h
@@ -1,9 +1,12 @@
-// Reads HTTP/1.1 messages from bytes as they come, by Boost.Beast's parser.
+// Incremental HTTP/1.1 parser on top of Boost.Beast.
 //
 // Index
 //   Http1Head      the start line and headers of a message
-//   Http1Failure   why bytes are no message
-//   Http1Parser    reads one message after the other
+//   Http1Failure   why parsing failed
+//   Http1Side      whether requests or responses are parsed
+//   Http1Events    callbacks
+//   Http1Limits    size limits of one message
+//   Http1Parser    parses successive messages of one connection
 
 #pragma once
 
@@ -18,20 +21,20 @@
 
 namespace hickorystand {
 
-// The start of a message.
+// The start line and headers of a message.
 struct Http1Head {
-  std::string method;  // of a request
-  std::string target;  // of a request
-  int status = 0;      // of an answer
+  std::string method;  // requests only
+  std::string target;  // requests only
+  int status = 0;      // responses only
   HttpHeaders headers;
-  bool keep_alive = false;              // the sender leaves the connection open
-  std::optional<uint64_t> body_length;  // as declared
-  bool until_close = false;             // the body ends with the connection
+  bool keep_alive = false;              // the connection may be reused
+  std::optional<uint64_t> body_length;  // Content-Length, if present
+  bool until_close = false;             // the body is delimited by the close
 
   bool operator==(const Http1Head&) const = default;
 };
 
-// Why bytes aren't a message.
+// Why parsing failed.
 enum class Http1Failure {
   kNone,
   kMalformed,
@@ -39,17 +42,18 @@
   kBodyTooLarge,
 };
 
-// What is read.
+// Which direction of a connection a parser reads.
 enum class Http1Side { kRequests, kAnswers };
 
-// What a parser reports, in this order for each message.
+// Callbacks of a parser, called in this order for each message. on_body is
+// called once for each piece of the body.
 struct Http1Events {
   std::function<void(const Http1Head&)> on_head;
   std::function<void(std::string_view)> on_body;
   std::function<void()> on_end;
 };
 
-// Bounds of one message, in bytes.
+// Size limits of one message, in bytes.
 struct Http1Limits {
   uint32_t head = 16384;
   uint64_t body = uint64_t{4} << 20;
@@ -57,7 +61,8 @@
   auto operator<=>(const Http1Limits&) const = default;
 };
 
-// Reads the messages of one direction of a connection.
+// Parses the messages of one direction of a connection, one after the other.
+// A failure is final for the current message; see Failure().
 class Http1Parser {
  public:
   Http1Parser(Http1Side side, Http1Events events);
@@ -65,22 +70,25 @@
   Http1Parser(const Http1Parser&) = delete;
   Http1Parser& operator=(const Http1Parser&) = delete;
 
-  // Gets ready for the next message. An answer to HEAD has no body.
+  // Prepares for the next message. `no_body` is for a response to HEAD, which
+  // declares a body but does not carry one.
   void Begin(const Http1Limits& limits, bool no_body = false);
 
-  // Adds bytes and reads on. It stops behind the end of the message; what
-  // follows stays until the next Begin() and Read().
+  // Feed() buffers bytes, Read() parses them. Read() stops at the end of the
+  // message; bytes after it stay buffered until the next Begin() and Read().
   void Feed(std::string_view bytes) { this->unread += bytes; }
   void Read();
 
-  // The connection was closed in order. True if that ends the message whole.
+  // Call when the peer has closed the connection in order. Returns true if the
+  // message is complete, as for a body that is delimited by the close.
   bool Finish();
 
-  // Whether the message's head is read, and whether all of it is.
+  // Whether the head has been parsed, and whether the whole message has.
   bool HeadRead() const { return this->head_read; }
   bool Done() const { return this->done; }
 
-  // Whether a message has begun, and how many bytes are left unread.
+  // Whether any byte of a message has arrived, and how many bytes are buffered
+  // but not parsed yet.
   bool Started() const { return this->started || !this->unread.empty(); }
   size_t Unread() const { return this->unread.size(); }
 
--- a/packages/http/http_client.cc
+++ b/packages/http/http_client.cc
@@ -21,7 +21,8 @@
          outgoing.target;
 }
 
-// A callback's data: keeps the exchange alive until libsoup has called back.
+// Makes the user data of a libsoup callback. It keeps the exchange alive until
+// Release() is called in the callback.
 HttpExchangePtr* Hold(HttpExchange* exchange) {
   return new HttpExchangePtr(exchange->shared_from_this());
 }
@@ -34,7 +35,7 @@
 
 }  // namespace
 
-// -- Connections -------------------------------------------------------------
+// -- HttpConnections ---------------------------------------------------------
 
 void HttpConnections::WeakFree::operator()(GWeakRef* weak) const {
   g_weak_ref_clear(weak);
@@ -68,7 +69,7 @@
   return got == 0 || (got < 0 && errno != EAGAIN && errno != EINTR);
 }
 
-// -- One exchange ------------------------------------------------------------
+// -- HttpExchange ------------------------------------------------------------
 
 HttpExchange::HttpExchange(HttpPoolPtr pool,
                            HttpOutgoing outgoing,
@@ -88,10 +89,10 @@
   }
 }
 
-// A non-idempotent request must not be sent twice, but libsoup sends a request
-// again when a kept connection turns out to be closed, and can't know whether
-// the other end had read it. So such a request gets a connection that carried
-// nothing before, on which libsoup never repeats.
+// A non-idempotent request must not be sent twice. libsoup resends a request
+// when a reused connection turns out to be closed, although the peer may have
+// read it already. Such a request is therefore sent on a new connection, on
+// which libsoup never resends.
 void HttpExchange::Start(std::function<void()> on_silent) {
   this->on_silent = std::move(on_silent);
   if (!this->message) {
@@ -111,8 +112,8 @@
 
 void HttpExchange::Launch() {
   SoupMessage* raw = this->message.get();
-  // Where libsoup repeats a method by itself, it sends the body's length again
-  // but not the body, and the other end waits for it in vain.
+  // For methods that libsoup resends by itself, it repeats the Content-Length
+  // but not the body, and the peer waits for a body that never arrives.
   const bool repeated_badly =
       g_bytes_get_size(this->body.get()) > 0 && this->outgoing.method != "POST";
   const bool fresh = this->outgoing.once || this->relaunched || repeated_badly;
@@ -149,11 +150,11 @@
       Hold(this));
 }
 
-// A kept connection that the other end closed while it was idle fails at its
-// next use, which says nothing about the request: an endpoint that was merely
-// restarted would look as if this request had crashed it. So an idempotent
-// request goes out once more, on a new connection. libsoup does the same, but
-// for methods that HTTP calls idempotent only, and POST is none of them.
+// Resends an idempotent request once on a new connection. A reused connection
+// that the peer closed while it was idle fails at its next use; without the
+// retry, an endpoint that was only restarted would look as if this request had
+// crashed it. libsoup retries only methods that HTTP defines as idempotent,
+// which excludes POST.
 bool HttpExchange::Relaunch() {
   if (this->outgoing.once || this->relaunched || this->own_connection ||
       this->forbidden || !this->sending) {
@@ -179,9 +180,10 @@
   }
 }
 
-// Closed in order, a connection still delivers what the kernel holds, seconds
-// later if a partition heals only then: an order would arrive after its
-// sender's authority has passed to another. A reset drops those bytes.
+// Makes the close send a reset, which discards bytes in the kernel's send
+// buffer. After an orderly close the kernel would still deliver them, possibly
+// seconds later when a network partition heals, and an order could arrive after
+// its sender's lease has passed to another host.
 void HttpExchange::DropUnsent() {
   if (!this->once_socket || g_socket_is_closed(this->once_socket.get())) {
     return;
@@ -189,13 +191,13 @@
   const linger at_once{.l_onoff = 1, .l_linger = 0};
   if (setsockopt(g_socket_get_fd(this->once_socket.get()), SOL_SOCKET,
                  SO_LINGER, &at_once, sizeof at_once) != 0) {
-    LogWarning("http", "A connection can't be reset.");
+    LogWarning("http", "Cannot set SO_LINGER; connection is not reset.");
   }
 }
 
-// Called just before the head and just before the body are handed to the
-// socket. A process that was paused while it held a lease must not send its
-// order when it wakes; a check made any earlier would leave room for the pause.
+// Called right before the head and right before the body are written to the
+// socket. A process that was suspended past the end of its lease must not send
+// its order on resuming; an earlier check could be followed by the suspension.
 void HttpExchange::CheckPermission() {
   if (this->over) {
     return;
@@ -286,13 +288,13 @@
   this->ReadMore();
 }
 
-// The body ended without an error; is it whole? A body that is delimited by the
-// connection's end alone looks the same when its sender died. And libsoup takes
-// the end of the connection between two chunks for the end of a chunked body:
-// a sender that dies there would pass for one that finished. After the true
-// last chunk the connection stays open, so a closed one gives it away. An
-// endpoint that closes its connection after each chunked answer can't be told
-// from one that died; docs/ENDPOINTS.md rules that out.
+// Decides whether a body that ended without an error is complete. A body that
+// is delimited only by the close looks the same if its sender crashed. libsoup
+// also accepts a close between two chunks as the end of a chunked body. After
+// the real last chunk the connection stays open, so a closed connection means a
+// truncated body. An endpoint that closes the connection after each chunked
+// response can't be distinguished from one that crashed; docs/ENDPOINTS.md
+// forbids it.
 HttpEnd HttpExchange::JudgeEnd() const {
   switch (soup_message_headers_get_encoding(
       soup_message_get_response_headers(this->message.get()))) {
@@ -327,7 +329,7 @@
   this->timer.reset();
   if (end != HttpEnd::kWhole) {
     g_cancellable_cancel(this->cancellable.get());
-    // With no read in progress, cancelling does not close the connection.
+    // Without a read in progress, cancelling does not close the connection.
     if (!this->reading) {
       this->stream.reset();
     }
@@ -365,10 +367,10 @@
   this->timer = Timer::After(delay, [this] { this->CheckProgress(); });
 }
 
-// Open connections can go silent for good, because a device in between has
-// forgotten them, while new ones work. It shows as no progress at all; without
-// this check the caller would wait for ever. One timer serves all phases and
-// looks again after what is left, as re-arming it for each read costs more
+// Detects connections that stall permanently, for example because a middlebox
+// has dropped their state while new connections work. Without this check the
+// caller would wait forever. One timer serves all phases and is re-armed only
+// when it fires, for the remaining time: re-arming it at each read costs more
 // than the read.
 void HttpExchange::CheckProgress() {
   const auto self = this->shared_from_this();
@@ -386,7 +388,7 @@
             "no progress in time");
 }
 
-// -- The client --------------------------------------------------------------
+// -- HttpClient --------------------------------------------------------------
 
 HttpClient::HttpClient(HttpClientOptions options) : options(options) {}
 
@@ -398,9 +400,9 @@
   const HttpPool* used = pool.get();
   const auto exchange = std::make_shared<HttpExchange>(
       std::move(pool), std::move(outgoing), std::move(events), timeouts);
-  // What made one connection silent made its idle companions silent too. They
-  // share its pool; a new pool replaces it. Exchanges under way keep the old
-  // one until they end, as their own progress speaks for them.
+  // Whatever stalled one connection is likely to have stalled the idle ones to
+  // the same address too, so the whole pool is replaced. Exchanges in progress
+  // keep the old pool until they end; each has its own progress check.
   exchange->Start(
       [used, address, pools = this->pools, renewals = this->renewals] {
         const auto found = pools->find(address);
@@ -425,8 +427,8 @@
   return pool;
 }
 
-// No cookies, no credentials, no proxy from the environment, no decoding:
-// bytes pass as they are.
+// The session uses no cookies, no credentials, no proxy from the environment
+// and no content decoding, so that bodies pass unchanged.
 ObjectPtr<SoupSession> HttpClient::MakeSession() const {
   const auto idle =
       std::chrono::ceil<std::chrono::seconds>(this->options.idle_timeout);
--- a/packages/http/http_client.h
+++ b/packages/http/http_client.h
@@ -1,17 +1,22 @@
-// An HTTP client on one task: single exchanges with an address, each phase of
-// which must make progress in time, and whose end is told exactly.
+// An HTTP client for one task. It sends single requests to an address, applies
+// a progress timeout to each phase, and reports exactly how each one ended.
 //
 // Index
-//   HttpTimeouts    how long each phase may stand still
-//   HttpOutgoing    what is sent
-//   HttpEnd         how an exchange ended
-//   HttpEvents      callbacks of the sender
-//   HttpExchange    one exchange under way
-//   HttpClient      the connections, pooled by address
+//   HttpTimeouts         progress timeout of each phase
+//   HttpClientRequest    a request to send
+//   HttpEnd              how an exchange ended
+//   HttpResponseHead     status and headers of a response
+//   HttpEvents           callbacks of an exchange
+//   HttpExchange         one request and its response
+//   HttpClientOptions    timeouts and pool sizes
+//   HttpClient           sends requests over connections pooled by address
 //
-// An exchange is one send. The client repeats nothing, but for one case: an
-// idempotent request on a kept connection that the other end had closed in
-// the meantime goes out once more on a new one.
+//   HttpClient client;
+//   client.Send({.address = address, .target = "/health"},
+//               {.on_end = [](HttpEnd end, const std::string& detail) {}});
+//
+// The client retries in one case only: an idempotent request on a reused
+// connection that the peer had closed is resent once on a new connection.
 
 #pragma once
 
@@ -32,7 +37,7 @@
 
 namespace hickorystand {
 
-// How long each phase may go without progress.
+// The longest time without progress in each phase.
 struct HttpTimeouts {
   Duration connect = std::chrono::seconds(1);
   Duration first_byte = std::chrono::seconds(30);
@@ -49,32 +54,33 @@
   HttpHeaders headers;
   std::string content_type;
   std::string body;
-  // A non-idempotent request: it gets a connection of its own, and is handed
-  // to it once.
+  // For a non-idempotent request: it is sent on a new connection, and only
+  // once.
   bool once = false;
   std::optional<HttpTimeouts> timeouts;  // instead of the client's
-  // Asked in the same step that hands bytes to the socket; false stops them.
+  // Called in the same step that passes bytes to the socket, before the head
+  // and before the body. False cancels the request.
   std::function<bool()> may_send;
 };
 
 // How an exchange ended.
 enum class HttpEnd {
-  kWhole,      // with its end marker: length met, or last chunk seen
-  kNoMarker,   // closed in order, but nothing shows that the body is whole
-  kNotSent,    // no byte left this process
-  kReset,      // the connection was lost after bytes had left
-  kSilent,     // no progress in time after bytes had left
-  kProtocol,   // what came back isn't HTTP, or is over a limit
-  kCancelled,  // by this process, after bytes had left
+  kWhole,      // complete: declared length reached, or last chunk received
+  kNoMarker,   // closed in order; the body may be truncated
+  kNotSent,    // no byte was sent
+  kReset,      // the connection was lost after bytes were sent
+  kSilent,     // timed out without progress after bytes were sent
+  kProtocol,   // the response is not valid HTTP, or exceeds a limit
+  kCancelled,  // by this process, after bytes were sent
 };
 
-// The start of an answer.
+// The status and headers of a response.
 struct HttpAnswerHead {
   int status = 0;
   HttpHeaders headers;
 };
 
-// Callbacks of a request's sender, in this order.
+// Callbacks of an exchange, called in this order on the client's task.
 struct HttpEvents {
   std::function<void(const HttpAnswerHead&)> on_head;
   std::function<void(std::string_view)> on_bytes;
@@ -83,12 +89,13 @@
 
 class HttpClient;
 
-// The open connections of one session, by libsoup's number for them.
+// The open connections of one session, by libsoup's connection id. libsoup does
+// not expose their sockets, which are needed to detect a close by the peer.
 class HttpConnections {
  public:
   void Add(guint64 id, GSocket* socket);
 
-  // Whether the other end has closed a connection.
+  // Whether the peer has closed a connection; true for an unknown id.
   bool ClosedByPeer(guint64 id) const;
 
  private:
@@ -99,7 +106,7 @@
   std::map<guint64, std::unique_ptr<GWeakRef, WeakFree>> sockets;
 };
 
-// The connections to one address that are pooled together.
+// A pool of connections to one address.
 struct HttpPool {
   ObjectPtr<SoupSession> session;
   HttpConnections connections;
@@ -107,7 +114,8 @@
 
 using HttpPoolPtr = std::shared_ptr<HttpPool>;
 
-// One exchange. Destroying the last pointer to it doesn't end it; Cancel does.
+// One request and its response. It stays alive until it has ended, even if the
+// caller drops its pointer; Cancel() ends it early.
 class HttpExchange : public std::enable_shared_from_this<HttpExchange> {
  public:
   HttpExchange(HttpPoolPtr pool,
@@ -118,15 +126,16 @@
   HttpExchange(const HttpExchange&) = delete;
   HttpExchange& operator=(const HttpExchange&) = delete;
 
-  // Ends the exchange and closes its connection, by a reset if the request is
-  // one that is sent once. on_end is not called.
+  // Ends the exchange and closes its connection, with a reset if the request
+  // is non-idempotent. on_end is not called.
   void Cancel();
 
-  // Stops reading, so that the other end has to wait, and goes on.
+  // Pause() stops reading, so that TCP flow control blocks the peer. Resume()
+  // continues. The progress timeout doesn't run while paused.
   void Pause();
   void Resume();
 
-  // Whether bytes of the request may have left this process.
+  // Whether bytes of the request may have been sent.
   bool MayHaveSent() const { return this->sending; }
 
  private:
@@ -157,13 +166,13 @@
   ObjectPtr<GCancellable> cancellable;
   ObjectPtr<GInputStream> stream;
   ObjectPtr<GSocket> new_socket;   // of a connection opened for this exchange
-  ObjectPtr<GSocket> once_socket;  // the same, of a request sent once
+  ObjectPtr<GSocket> once_socket;  // the same, for a non-idempotent request
   std::function<void()> on_silent;
   std::unique_ptr<Timer> timer;
   gint64 last_progress = 0;  // g_get_monotonic_time()
   Duration limit{};
   bool sending = false;
-  bool own_connection = false;  // opened for this exchange
+  bool own_connection = false;  // not a reused connection
   bool relaunched = false;
   bool forbidden = false;
   bool paused = false;
@@ -173,28 +182,30 @@
 
 using HttpExchangePtr = std::shared_ptr<HttpExchange>;
 
-// How a client behaves.
+// Options of a client.
 struct HttpClientOptions {
   HttpTimeouts timeouts;
-  int max_connections = 8192;                        // to one address
+  int max_connections = 8192;                        // per address
   Duration idle_timeout = std::chrono::seconds(30);  // of a pooled connection
 };
 
-// Sends requests. Lives on one task.
+// Sends requests over connections that are pooled by address. Must be used on a
+// single task.
 class HttpClient {
  public:
   explicit HttpClient(HttpClientOptions options = {});
   HttpClient(const HttpClient&) = delete;
   HttpClient& operator=(const HttpClient&) = delete;
 
-  // Sends a request; `events` are called on this task, never from within.
+  // Sends a request. Callbacks run on this task, never from within Send().
   HttpExchangePtr Send(HttpOutgoing outgoing, HttpEvents events);
 
-  // Opens new connections to an address from now on. Exchanges under way on
-  // the old ones go on; idle ones are never used again.
+  // Replaces the pool of an address, so that later requests open new
+  // connections. Exchanges in progress continue on their connections; idle
+  // connections are not reused.
   void Renew(const SocketAddress& address);
 
-  // How often connections were renewed because one went silent.
+  // How often a pool was replaced because an exchange in it timed out.
   int64_t Renewals() const { return *this->renewals; }
 
  private:
--- a/packages/http/http_server.cc
+++ b/packages/http/http_server.cc
@@ -10,17 +10,18 @@
 namespace hickorystand {
 namespace {
 
-// How many times the body limit is read and thrown away, so that an ordinary
-// client finishes sending and reads its refusal, before the connection is cut.
+// An oversized body is read and discarded up to this multiple of the body limit
+// before the connection is closed, so that an ordinary client finishes sending
+// and reads the error response.
 constexpr int64_t kDiscardFactor = 4;
 
 std::string OrEmpty(const char* text) {
   return text == nullptr ? "" : text;
 }
 
-// A socket that listens. libsoup would make one whose queue holds ten
-// connections: of a burst of callers the rest would be ignored by the kernel,
-// and each would try again after a second, which looks like a slow host.
+// Makes a listening socket with a long backlog. libsoup's own has a backlog of
+// ten: in a burst of callers the kernel ignores the rest, and each retries
+// after a second, which looks like a slow host.
 ObjectPtr<GSocket> ListeningSocket(GSocketAddress* address, GError** error) {
   constexpr int kBacklog = 1024;
   ObjectPtr<GSocket> socket(g_socket_new(g_socket_address_get_family(address),
@@ -39,7 +40,7 @@
 
 }  // namespace
 
-// -- One call ----------------------------------------------------------------
+// -- HttpCall ----------------------------------------------------------------
 
 HttpCall::HttpCall(const HttpServerOptions& options,
                    SoupServerMessage* message,
@@ -73,7 +74,7 @@
   this->refusal = this->HeadFault();
 }
 
-// What is over its limit in the head, if anything is.
+// Returns an error if the head exceeds a limit.
 std::optional<Error> HttpCall::HeadFault() const {
   const HttpHeaders& headers = this->request.headers;
   if (std::ssize(headers) > this->options.max_headers) {
@@ -95,8 +96,8 @@
   return std::nullopt;
 }
 
-// Without the limit here a caller that sends a chunked body without end would
-// fill this host's memory.
+// Without the limit here, a caller that sends an endless chunked body would
+// exhaust this host's memory.
 void HttpCall::TakeChunk(GBytes* chunk) {
   gsize size = 0;
   const auto* data = static_cast<const char*>(g_bytes_get_data(chunk, &size));
@@ -124,7 +125,7 @@
   }
 }
 
-// Keeps libsoup from answering until the handler has something to say.
+// Pauses the message, so that libsoup sends nothing before the handler answers.
 void HttpCall::Hold() {
   if (this->ended || this->started) {
     return;
@@ -133,9 +134,10 @@
   this->WatchCaller();
 }
 
-// While an answer is held back libsoup doesn't look at the socket, so a caller
-// that hung up would keep its place in the queue and its endpoint busy. Data
-// on the socket can only be the next request; then the watch ends.
+// Watches the socket for a disconnect. libsoup does not poll it while a message
+// is paused, so a caller that disconnected would keep its place in the queue
+// and its endpoint busy. Incoming data can only be the next request, and ends
+// the watch.
 void HttpCall::WatchCaller() {
   if (!this->socket || this->watch != nullptr) {
     return;
@@ -210,8 +212,8 @@
   soup_message_body_set_accumulate(soup_server_message_get_response_body(raw),
                                    FALSE);
   soup_server_message_unpause(raw);
-  // A stream that is begun within the handler was never held, so nobody watches
-  // its caller yet; and one with nothing to write finds no broken connection.
+  // A stream that is started within the handler was never paused, so no watch
+  // exists yet, and a stream with nothing to write detects no disconnect.
   this->WatchCaller();
 }
 
@@ -261,8 +263,8 @@
   this->MarkGone();
 }
 
-// Shuts the socket, and gives libsoup something to write, because it only
-// notices the end of a paused message's connection when it writes to it.
+// Shuts down the socket, and queues something to write, because libsoup detects
+// the closed connection of a paused message only when it writes to it.
 void HttpCall::CloseSocket() {
   this->StopWatching();
   if (this->socket) {
@@ -313,14 +315,14 @@
   }
 }
 
-// A caller that opens streams and reads none of them would hold their buffers
-// for ever.
+// Without the timeout, a caller that opens streams and reads none of them would
+// hold their buffers forever.
 void HttpCall::ArmWriteTimer() {
   this->timer =
       Timer::After(this->options.write_timeout, [this] { this->Abort(); });
 }
 
-// -- The server --------------------------------------------------------------
+// -- HttpServer --------------------------------------------------------------
 
 HttpServer::HttpServer(HttpServerOptions options,
                        Handler handler,
@@ -396,8 +398,8 @@
   g_slist_free(listeners);
 }
 
-// Only requests that are here by now are awaited: on a busy server there is
-// always one under way.
+// Waits only for requests that are present now: on a busy server there is
+// always another one in progress.
 void HttpServer::WhenAnswered(std::function<void()> call) {
   this->on_answered = std::move(call);
   this->awaited.clear();
@@ -427,8 +429,9 @@
   auto call = std::make_shared<HttpCall>(self->options, message, self->state);
   HttpCall* raw = call.get();
   self->calls[message] = std::move(call);
-  // A caller that sends its head one byte a minute would hold a connection for
-  // ever, and a thousand such callers all of them.
+  // Slowloris protection: without the timeout, a caller that sends its head at
+  // one byte a minute would hold a connection forever, and a thousand such
+  // callers would hold all connections.
   raw->timer =
       Timer::After(self->options.head_timeout, [raw] { raw->CloseSocket(); });
   g_signal_connect(
--- a/packages/http/http_server.h
+++ b/packages/http/http_server.h
@@ -1,12 +1,12 @@
-// An HTTP server on one task, with a limit on all that a caller can make it
-// hold: headers, body, time to send them, and bytes that it doesn't fetch.
+// An HTTP server for one task. It limits every resource that a caller can make
+// it hold: headers, body, time to send them, and response bytes not yet read.
 //
 // Index
 //   HttpServerOptions   addresses and limits
 //   HttpServerState     shared by a server and its calls
-//   HttpRequest         what a caller asked, read whole
-//   HttpCall            one request being answered, at once or as a stream
-//   HttpServer          listens and hands out calls
+//   HttpRequest         a complete request
+//   HttpCall            one request and its response, whole or streamed
+//   HttpServer          listens and passes calls to a handler
 //
 //   HttpServer server(options, [](const HttpCallPtr& call) {
 //     call->Answer(200, {{"Content-Type", "text/plain"}}, "hello\n");
@@ -34,33 +34,34 @@
 
 namespace hickorystand {
 
-// Where a server listens and what it lets a caller do.
+// Listening address, TLS files, and limits per caller.
 struct HttpServerOptions {
   SocketAddress listen{"127.0.0.1", 0};  // port 0: any free one
   std::string tls_certificate;           // PEM file; empty: no TLS
   std::string tls_key;                   // PEM file
   int64_t max_body_bytes = int64_t{8} << 20;
-  // Of all bodies that the server holds at once; more is refused as overload.
+  // Total of all request bodies in memory; beyond it requests are refused with
+  // ErrorKind::kOverloaded.
   int64_t max_total_body_bytes = int64_t{256} << 20;
   int64_t max_header_bytes = int64_t{32} << 10;
   int64_t max_headers = 100;
-  // The longest that a connection may be without a whole request head; it is
-  // also how long an idle connection is kept.
+  // The longest time for receiving a complete request head; also the idle
+  // timeout of a connection.
   Duration head_timeout = std::chrono::seconds(60);
   Duration body_timeout = std::chrono::seconds(30);  // for the whole body
-  // The longest that a caller may fetch nothing of an answer that waits.
+  // The longest time in which a caller may read nothing of a pending response.
   Duration write_timeout = std::chrono::seconds(30);
-  // A stream with more than this unsent is told to pause.
+  // A stream with more unsent bytes than this is congested.
   int64_t high_water_bytes = int64_t{256} << 10;
 };
 
-// What all calls of a server share with it.
+// State shared by a server and all its calls.
 struct HttpServerState {
-  int64_t bodies_held = 0;  // bytes
-  bool closing = false;     // each answer closes its connection
+  int64_t bodies_held = 0;  // bytes of request bodies in memory
+  bool closing = false;     // each response closes its connection
 };
 
-// What a caller asked.
+// A complete request.
 struct HttpRequest {
   std::string method;
   std::string path;   // percent-decoded
@@ -70,7 +71,8 @@
   std::string body;
 };
 
-// One request and its answer. Lives on the server's task.
+// One request and its response. Must be used on the server's task. Once the
+// caller has disconnected, all functions that write do nothing.
 class HttpCall : public std::enable_shared_from_this<HttpCall> {
  public:
   HttpCall(const HttpServerOptions& options,
@@ -82,26 +84,28 @@
 
   const HttpRequest& Request() const { return this->request; }
 
-  // Answers all at once. Does nothing when the caller has gone.
+  // Sends a complete response.
   void Answer(int status, const HttpHeaders& headers, std::string_view body);
 
-  // Answers piece by piece: start, write, and end. An answer that isn't ended
-  // must be aborted, so that the caller can tell.
+  // Sends a chunked response: StartStream(), any number of Write(),
+  // EndStream(). A stream that can't be completed must be aborted, so that the
+  // caller can detect the truncation.
   void StartStream(int status, const HttpHeaders& headers);
   void Write(std::string_view bytes);
   void EndStream();
 
-  // Closes the connection in the middle of the answer.
+  // Closes the connection in the middle of the response.
   void Abort();
 
-  // Whether an answer was begun, or the caller has gone.
+  // Whether a response was started; whether the caller has disconnected or the
+  // exchange is over.
   bool Started() const { return this->started; }
   bool Gone() const { return this->gone; }
 
-  // Whether more is unsent than the high-water mark.
+  // Whether more than HttpServerOptions::high_water_bytes are unsent.
   bool Congested() const;
 
-  // Called once when the caller hangs up before its answer is whole.
+  // Called once when the caller disconnects before its response is complete.
   void OnGone(std::function<void()> call) { this->on_gone = std::move(call); }
 
   // Called when a stream is no longer congested.
@@ -141,7 +145,7 @@
   int64_t received = 0;
   std::shared_ptr<HttpServerState> server;
   int64_t unsent = 0;
-  std::unique_ptr<Timer> timer;  // the phase that the call is in
+  std::unique_ptr<Timer> timer;  // timeout of the current phase
   GSource* watch = nullptr;
   std::function<void()> on_gone;
   std::function<void()> on_drained;
@@ -149,12 +153,12 @@
 
 using HttpCallPtr = std::shared_ptr<HttpCall>;
 
-// Listens, reads requests and hands them to a handler. Make, start and destroy
-// it on the task that it shall live on.
+// Listens, reads requests and passes each to a handler. Must be created,
+// started and destroyed on the same task.
 class HttpServer {
  public:
   using Handler = std::function<void(const HttpCallPtr&)>;
-  // Answers a request that broke a limit, with the error that says which.
+  // Answers a request that exceeded a limit; the error names the limit.
   using Refuser = std::function<void(const HttpCallPtr&, const Error&)>;
 
   HttpServer(HttpServerOptions options, Handler handler, Refuser refuser = {});
@@ -162,22 +166,22 @@
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
 
-  // Starts to listen; the address tells the port that was taken.
+  // Starts to listen. Returns the address with the actual port.
   Result<SocketAddress> Start();
 
-  // Takes no further connection; those that exist are served on.
+  // Stops accepting connections. Open connections are still served.
   void StopListening();
 
-  // Closes each connection after its next answer from now on, and says so in
-  // that answer. Connections are still accepted.
+  // From now on, closes each connection after its next response, which carries
+  // "Connection: close". Connections are still accepted.
   void CloseAfterAnswers() { this->state->closing = true; }
 
-  // Calls back once when all requests whose head has been read by now have
-  // been answered and the answers written, or their callers have gone. Calls
-  // back at once if there are none. A second call replaces the first.
+  // Calls back once when every request whose head has been read so far was
+  // answered and its response written, or its caller disconnected. Calls back
+  // immediately if there are none. A second call replaces the first.
   void WhenAnswered(std::function<void()> call);
 
-  // Calls that are being read or answered, idle connections among them.
+  // Number of calls being read or answered, including idle connections.
   int64_t OpenCalls() const { return static_cast<int64_t>(this->calls.size()); }
 
  private:
@@ -203,7 +207,7 @@
   ObjectPtr<SoupServer> server;
   std::map<SoupServerMessage*, HttpCallPtr> calls;
   std::shared_ptr<HttpServerState> state = std::make_shared<HttpServerState>();
-  std::set<SoupServerMessage*> awaited;  // by on_answered
+  std::set<SoupServerMessage*> awaited;  // before on_answered is called
   std::function<void()> on_answered;
 };
 
--- a/packages/http/http_types.cc
+++ b/packages/http/http_types.cc
@@ -7,9 +7,10 @@
 namespace hickorystand {
 namespace {
 
-// A caller's key must never reach an endpoint: whoever reads the endpoint's
-// memory or log could act as the caller. Nor may a caller set the headers by
-// which an attempt is told from another.
+// Hop-by-hop headers, credentials, and headers reserved for attempts. A
+// caller's key must not reach an endpoint, because anybody who can read the
+// endpoint's memory or log could then impersonate the caller. A caller must not
+// set the headers that identify an attempt.
 constexpr std::array<std::string_view, 21> kNotForwarded = {
     "connection",
     "keep-alive",
--- a/packages/http/http_types.h
+++ b/packages/http/http_types.h
@@ -1,4 +1,4 @@
-// Headers and requests as plain values, free of libsoup's types.
+// HTTP headers as plain values, independent of libsoup's types.
 
 #pragma once
 
@@ -21,22 +21,22 @@
 
 using HttpHeaders = std::vector<HttpHeader>;
 
-// Whether two header names are the same, in any case of letters.
+// Compares two header names, ignoring case.
 bool SameHeaderName(std::string_view left, std::string_view right);
 
-// The value of the first header of that name, in any case of letters.
+// Returns the value of the first header with that name, ignoring case.
 std::optional<std::string> FindHeader(const HttpHeaders& headers,
                                       std::string_view name);
 
-// All headers of a libsoup message, in their order.
+// Copies all headers of a libsoup message, in order.
 HttpHeaders CopyHeaders(SoupMessageHeaders* headers);
 
 // Appends headers to a libsoup message.
 void AppendHeaders(SoupMessageHeaders* to, const HttpHeaders& headers);
 
-// The headers that may be passed on between a caller and an endpoint: neither
-// those that belong to one connection (hop-by-hop), nor those that carry a
-// caller's credentials.
+// Returns the headers that may be forwarded between a caller and an endpoint:
+// all but hop-by-hop headers, the caller's credentials, and the headers that
+// this system sets on each attempt.
 HttpHeaders ForwardableHeaders(const HttpHeaders& headers);
 
 }  // namespace hickorystand
--- a/packages/http/stream_socket.cc
+++ b/packages/http/stream_socket.cc
@@ -10,14 +10,14 @@
 namespace hickorystand {
 namespace {
 
-// Read at once. Larger reads would let one fast peer hold up all others.
+// Bytes per read. Larger reads would let one fast peer delay all others.
 constexpr size_t kReadBlock = size_t{32} << 10;
 
-// Connections that wait to be accepted; beyond it opening packets are dropped
-// and come again only after a second.
+// Connections waiting to be accepted. Beyond it the kernel drops SYN packets,
+// which the client resends only after a second.
 constexpr int kBacklog = 512;
 
-// How long a peer may take to close in turn, once all was sent.
+// How long to wait for the peer to close its side once all bytes are sent.
 constexpr Duration kCloseLimit = std::chrono::seconds(1);
 
 ObjectPtr<GSocketAddress> MakeAddress(const SocketAddress& address) {
@@ -78,7 +78,8 @@
     }
   }
   g_clear_error(&raw);
-  // Told later, so that the owner has the connection in hand by then.
+  // Report the failure from the main loop, so that the owner holds the returned
+  // pointer when on_end is called.
   made->failure.reset(g_idle_source_new());
   g_source_set_callback(made->failure.get(), &StreamSocket::OnFailed,
                         made.get(), nullptr);
@@ -165,7 +166,7 @@
     if (this->state == State::kClosing) {
       return;
     }
-    // A copy: the owner may replace its handlers from within one of them.
+    // Copied because the owner may replace the callbacks from within one.
     const auto call = this->events.on_bytes;
     call({block.data(), static_cast<size_t>(got)});
   } else if (got == 0) {
@@ -195,8 +196,8 @@
       if (IsError(error, G_IO_ERROR_WOULD_BLOCK)) {
         this->WatchOutput();
       } else {
-        // What the peer said before it reset may still be there to be read,
-        // and the input source reports the end after it.
+        // Data that the peer sent before the reset may still be readable; the
+        // input source reports the end of the connection after it.
         this->unsent.clear();
         this->output.reset();
         this->WatchInput();
--- a/packages/http/stream_socket.h
+++ b/packages/http/stream_socket.h
@@ -1,14 +1,15 @@
-// One TCP connection on a task's main context, without blocking.
+// Non-blocking TCP connections on a task's GLib main context.
 //
-// libsoup hides when bytes leave and joins answers to requests by itself. A
-// relay has to know both exactly, since "may have run" follows from them. So
-// the relay sits on sockets, and the parser library reads what comes.
+// A relay has to know exactly when bytes of a request were sent and which
+// response belongs to which request, because both decide whether the request
+// may have run. libsoup exposes neither, so the relay uses these sockets
+// directly together with Http1Parser.
 //
 // Index
 //   StreamEnd      how a connection ended
 //   StreamEvents   callbacks
-//   StreamSocket   the connection
-//   Listener       accepts connections at an address
+//   StreamSocket   one connection
+//   Listener       accepts connections on an address
 
 #pragma once
 
@@ -29,25 +30,27 @@
 
 // How a connection ended.
 enum class StreamEnd {
-  kRefused,  // never opened
-  kClosed,   // the peer closed in order
-  kReset,    // lost, or timed out by the kernel
+  kRefused,  // could not be established
+  kClosed,   // closed in order by the peer
+  kReset,    // reset, or timed out by the kernel
 };
 
-// Callbacks of a connection. Called on the task; the owner may drop
-// the connection from within.
+// Callbacks of a connection, called on its task. The owner may destroy the
+// connection from within a callback.
 struct StreamEvents {
-  std::function<void()> on_open;  // outgoing ones only
+  std::function<void()> on_open;  // outgoing connections only
   std::function<void(std::string_view)> on_bytes;
-  std::function<void()> on_drained;       // all that was written left
+  std::function<void()> on_drained;       // all written bytes were sent
   std::function<void(StreamEnd)> on_end;  // last, once
 };
 
-// A connection. Destroying it closes it.
+// One TCP connection. Destroying it closes it. Used only on the task on which
+// it was created.
 class StreamSocket : public std::enable_shared_from_this<StreamSocket> {
  public:
-  // Starts to connect. `silence` is how long sent bytes may stay
-  // unacknowledged: a peer that vanished without a reset shows only by that.
+  // Starts to connect. `silence` limits how long sent bytes may stay
+  // unacknowledged (TCP_USER_TIMEOUT); without it, a peer that disappears
+  // without a reset is not detected.
   static std::shared_ptr<StreamSocket> Connect(const SocketAddress& address,
                                                Duration silence,
                                                StreamEvents events);
@@ -64,26 +67,29 @@
   // Replaces the callbacks.
   void SetEvents(StreamEvents events) { this->events = std::move(events); }
 
-  // Sends bytes after those written before.
+  // Queues bytes behind those written before, and sends what the kernel takes.
   void Write(std::string_view bytes);
 
-  // Stops reading, so that the peer has to wait, and goes on.
+  // Pause() stops reading, so that TCP flow control blocks the peer. Resume()
+  // continues.
   void Pause();
   void Resume();
 
-  // Ends the connection in order once all was sent. It reads on meanwhile and
-  // keeps itself alive for that: a close with unread bytes is a reset, which
-  // could destroy what the peer hasn't read yet. No event follows.
+  // Closes the connection in order once all bytes are sent. Until then the
+  // object keeps itself alive and discards input, because a close with unread
+  // input sends a reset, which can destroy data that the peer has not read yet.
+  // No callback follows.
   void CloseAfterWrite();
 
-  // Ends the connection at once, in order or by a reset.
+  // Closes the connection at once: in order, or with a reset, which also
+  // discards unsent bytes in the kernel. No callback follows.
   void Close();
   void Reset();
 
-  // Bytes written that the kernel hasn't taken yet.
+  // Bytes written that the kernel has not accepted yet.
   size_t Unsent() const { return this->unsent.size(); }
 
-  // Whether any byte was handed to the kernel.
+  // Whether the kernel has accepted any byte.
   bool AnySent() const { return this->any_sent; }
 
   bool Open() const { return this->state == State::kOpen; }
@@ -118,13 +124,14 @@
   std::string unsent;
   bool any_sent = false;
   bool paused = false;
-  std::shared_ptr<StreamSocket> self;  // while it closes
+  std::shared_ptr<StreamSocket> self;  // set during CloseAfterWrite()
   std::unique_ptr<Timer> closing;
 };
 
 using StreamSocketPtr = std::shared_ptr<StreamSocket>;
 
-// Listens at an address.
+// Listens on an address and passes each accepted connection to `on_accept`.
+// Destroying it stops listening.
 class Listener {
  public:
   static Result<std::unique_ptr<Listener>> Open(
