--- a/packages/daemon/admin_server.cc
+++ b/packages/daemon/admin_server.cc
@@ -11,7 +11,7 @@
 constexpr std::string_view kBearer = "Bearer ";
 constexpr std::string_view kRequestParameter = "request=";
 
-// Compares in a time that doesn't tell how much of the token was right.
+// Compares in constant time, so that timing does not reveal a matching prefix.
 bool EqualInConstantTime(std::string_view given, std::string_view wanted) {
   unsigned difference = given.size() == wanted.size() ? 0 : 1;
   for (size_t i = 0; i < given.size(); ++i) {
--- a/packages/daemon/admin_server.h
+++ b/packages/daemon/admin_server.h
@@ -1,11 +1,16 @@
-// HTTP towards operators: what hickoryctl asks a running host.
+// The admin HTTP interface of a host, which hickoryctl uses.
 //
 //   GET  /admin/status            this host's view of the fleet
 //   GET  /admin/why?request=ID    the decisions about one request
 //   POST /admin/drain             starts a graceful shutdown of this host
 //
-// Every call needs "Authorization: Bearer TOKEN". Lives on the task that makes
-// it; answers are JSON, errors have the same shape as those of the gateway.
+// Every call needs "Authorization: Bearer TOKEN". Responses are JSON; errors
+// have the same form as those of the gateway. The server must be used on the
+// task that creates it.
+//
+// Index
+//   AdminHandlers   callbacks into the host
+//   AdminServer     the HTTP server
 
 #pragma once
 
@@ -19,8 +24,8 @@
 
 namespace hickorystand {
 
-// What the server asks of the host. Answers may come later, on the same task:
-// what a request's decisions were is known on another one.
+// Callbacks into the host. A handler may answer later, on the server's task,
+// because a request's decisions are kept on another task.
 struct AdminHandlers {
   using Answer = std::function<void(const std::string& json)>;
 
@@ -29,12 +34,12 @@
   std::function<void()> drain;
 };
 
-// The listening socket for operators.
+// Serves the admin interface.
 class AdminServer {
  public:
   AdminServer(const AdminSettings& settings, AdminHandlers handlers);
 
-  // Starts to listen; the address tells the port that was taken.
+  // Starts to listen. Returns the address with the actual port.
   Result<SocketAddress> Start() { return this->server.Start(); }
 
  private:
--- a/packages/daemon/configuration_driver.cc
+++ b/packages/daemon/configuration_driver.cc
@@ -10,10 +10,10 @@
 
 constexpr Duration kTick = std::chrono::milliseconds(100);
 
-// Most bytes of values in one reply, well below the limit of a frame.
+// Limit on the bytes of values in one reply, well below the frame limit.
 constexpr size_t kMaxReplyBytes = 256UL * 1024;
 
-// Values that were written; a deleted one leaves nothing that could be used.
+// Returns the written records. Deletions are skipped, as they carry no value.
 std::vector<StoreRecord> Written(const std::vector<StoreChange>& changes) {
   std::vector<StoreRecord> records;
   for (const StoreChange& change : changes) {
@@ -125,8 +125,8 @@
 }
 
 void ConfigurationDriver::Fetch(const ReplicaAction& action) {
-  // An unsent request is a peer that doesn't answer; the replica's timeout
-  // turns to the next one.
+  // A failed send needs no handling: the replica times out, as for a peer that
+  // doesn't answer, and tries the next peer.
   this->outlets.send(action.peer,
                      BucketsRequest{.above_revision = action.above_revision});
 }
--- a/packages/daemon/configuration_driver.h
+++ b/packages/daemon/configuration_driver.h
@@ -1,6 +1,6 @@
-// Keeps a host's configuration up to date: reads, watches and fetches what its
-// replica asks for, and answers peers that ask for buckets. Lives on the
-// control task.
+// Keeps a host's configuration up to date: performs the reads, watches and
+// fetches that its ConfigurationReplica requests, and answers peers that
+// request buckets. Used only on the control task.
 
 #pragma once
 
@@ -15,11 +15,12 @@
 
 namespace hickorystand {
 
-// What the driver reaches and tells.
+// The store and callbacks that the driver uses.
 struct ConfigurationOutlets {
   KeyValueStore* store = nullptr;
-  // Sends to a peer; false if there is no link to it.
+  // Sends to a peer. Returns false if there is no link to it.
   std::function<bool(const HostId&, const PeerMessage&)> send;
+  // Called with each configuration that comes into force.
   std::function<void(const ConfigurationPtr&)> in_force;
 };
 
@@ -30,19 +31,20 @@
                       const Clock& clock,
                       ConfigurationOutlets outlets);
 
-  // What is in force; an empty configuration before the first.
+  // The configuration in force; empty until the first one is received.
   ConfigurationPtr Current() const;
 
-  // Whether this host is to watch the key-value service.
+  // Sets whether this host watches the key-value service.
   void SetWatching(bool watches);
 
-  // News of peers.
+  // Input from peers: a peer's revision, the loss of a peer, and its reply.
   void OnPeerRevision(const HostId& peer, int64_t revision);
   void OnPeerGone(const HostId& peer) { this->replica.OnPeerGone(peer); }
   void OnBuckets(const HostId& peer, const BucketsReply& reply);
 
-  // What a peer lacks that holds everything up to a revision, in replies short
-  // enough for one frame each. There is always one, so that nobody waits.
+  // Returns all buckets above the requested revision, split into replies that
+  // each fit into one frame. There is at least one reply, so that the peer does
+  // not wait for a timeout.
   std::vector<BucketsReply> RepliesTo(const BucketsRequest& request) const;
 
   bool KeysTrusted() const {
@@ -65,7 +67,8 @@
   ConfigurationOutlets outlets;
   ConfigurationReplica replica;
   std::unique_ptr<StoreWatch> watch;
-  std::unique_ptr<StoreWatch> ended_watch;  // may be the caller of StopWatch
+  std::unique_ptr<StoreWatch>
+      ended_watch;  // StopWatch() may run in its callback
   std::unique_ptr<Timer> timer;
 };
 
--- a/packages/daemon/control.cc
+++ b/packages/daemon/control.cc
@@ -16,7 +16,8 @@
 constexpr Duration kHostListEvery = std::chrono::seconds(5);
 constexpr Duration kKeyCheckEvery = std::chrono::seconds(1);
 constexpr Duration kMetricsEvery = std::chrono::seconds(1);
-constexpr uint64_t kTokenWantsPerMillisecond = 1000;  // at most
+// Upper bound on the rate of token requests, which are numbered.
+constexpr uint64_t kTokenWantsPerMillisecond = 1000;
 constexpr const char* kShareHoldersKey = "/hickorystand/limits";
 constexpr Duration kReleaseCheckEvery = std::chrono::milliseconds(50);
 constexpr Duration kClaimsSettleWithin = std::chrono::seconds(5);
@@ -63,7 +64,7 @@
                      .seed = seed});
 }
 
-// What changed between two states of the counters.
+// Returns the counters in `to` that differ from `from`.
 AccountUsage Changed(const AccountUsage& from, const AccountUsage& to) {
   AccountUsage changed;
   std::ranges::copy_if(
@@ -138,7 +139,8 @@
   LimitGateOptions options{.self = this->settings.host};
   options.shares.key = kShareHoldersKey;
   options.shares.names_listed = true;
-  // Starts above the numbers of earlier processes of this host.
+  // The incarnation is a wall clock time in milliseconds, so numbering starts
+  // above the numbers used by earlier processes of this host.
   options.limits.first_number =
       static_cast<int64_t>(this->incarnation * kTokenWantsPerMillisecond);
   this->limits = std::make_unique<LimitGate>(
@@ -160,9 +162,9 @@
           .cleans_up = [this] { return this->peers->Rank() == 0; }});
 }
 
-// The hosts that tokens move between. All hosts of a data centre are linked
-// with each other; those of other data centres aren't, and would choose other
-// homes.
+// Returns the hosts that exchange limit tokens. All hosts of a data centre are
+// linked with each other. Hosts of other data centres are not, and would
+// compute a different home for an account.
 std::vector<HostId> Control::LinkedHosts() const {
   std::vector<HostId> linked;
   for (const auto& [host, digest] : this->peers->Digests()) {
@@ -174,8 +176,8 @@
   return linked;
 }
 
-// The clients go first: what they still have under way must not call back into
-// drivers that are gone.
+// Destroys the clients first, so that their pending calls cannot call back into
+// destroyed drivers.
 Control::~Control() {
   this->timers.clear();
   this->limits.reset();
@@ -374,9 +376,10 @@
                                   .fencing = release.fencing});
 }
 
-// Usage that only this host knows is lost with it, so it is copied every second
-// to the holder of the lease and to its deputy, who may follow it. Only what
-// changed travels: counters are cumulative, and the higher one wins.
+// Usage that only this host has counted is lost if it crashes. So it is copied
+// every second to the lease holder and to its deputy, which may become the next
+// holder. Only changed counters are sent; they are cumulative, and the receiver
+// keeps the higher value. New receivers get all of them.
 void Control::ShareUsage() {
   this->coordinator->OnUsage(this->usage.Copy());
   const std::set<HostId> keepers = this->UsageKeepers();
@@ -409,13 +412,13 @@
   return keepers;
 }
 
-// Keys revoked elsewhere can't be heard of while this data centre is cut off
-// from both the platform and every other host that knows more.
+// Revocations of keys don't arrive while this data centre is disconnected from
+// both the platform and every host with a newer configuration.
 void Control::CheckKeys() {
   const bool trusted = this->configuration->KeysTrusted();
   if (trusted != this->keys_trusted) {
     LogWarning(kPart, trusted ? "Keys are trusted again."
-                              : "Cut off for too long; keys are refused.");
+                              : "Disconnected for too long; keys are refused.");
     this->keys_trusted = trusted;
     this->events.trust_keys(trusted);
   }
@@ -426,8 +429,8 @@
   this->peers->StartDrain();
 }
 
-// A claim whose request was refused as not run has to be withdrawn, or the
-// caller's next try would be refused as a duplicate.
+// Waits for pending claims: the claim of a request that was refused as not run
+// must be withdrawn, or the caller's retry would be refused as a duplicate.
 void Control::HandOver(std::function<void()> on_released) {
   this->ShareUsage();
   this->limits->Stop();
@@ -441,7 +444,8 @@
                      if (claims_open || !this->coordinator->Released()) {
                        return;
                      }
-                     // The callback may destroy this object, and so the timer.
+                     // Copied because the callback may destroy this object
+                     // and with it the timer that holds the callback.
                      const auto call = on_released;
                      this->release_timer.reset();
                      call();
--- a/packages/daemon/control.h
+++ b/packages/daemon/control.h
@@ -1,15 +1,15 @@
-// The control task of an entry host: everything that hosts agree on, apart
-// from the requests themselves. It keeps the configuration up to date, contends
-// for the data centre's lease, gives orders, makes claims, counts usage, and
-// talks with the other hosts.
+// The control task of a host: all coordination between hosts, apart from the
+// requests themselves. It keeps the configuration up to date, competes for the
+// data centre's lease, sends orders, makes claims, counts usage, and exchanges
+// messages with the other hosts.
 //
-// All of it lives on one task; the serving task is told by ControlEvents and
-// tells by calling the functions below, both through Task::Post.
+// Everything here runs on one task. The serving task receives ControlEvents and
+// calls the functions of Control; both directions go through Task::Post.
 //
 // Index
-//   ControlEvents   what the serving task is told
-//   ServingView     what the serving task tells
-//   Control         the class
+//   ControlEvents   events for the serving task
+//   ServingView     state of the serving task
+//   Control         the control part of one host
 
 #pragma once
 
@@ -36,25 +36,27 @@
 
 namespace hickorystand {
 
-// What the serving task is told. Called on the control task.
+// Events for the serving task. Called on the control task.
 struct ControlEvents {
   std::function<void(ConfigurationPtr)> on_configuration;
   std::function<void(const Digest&)> on_digest;
   std::function<void(const HostId&)> on_host_gone;
   std::function<void(bool)> trust_keys;
-  // Wants a digest; answered by Control::OnServingView().
+  // Requests a digest; answered with Control::OnServingView().
   std::function<void()> want_view;
 };
 
-// What the serving task knows and the control task shares or shows.
+// State of the serving task, which the control task sends to other hosts and
+// shows on the status page.
 struct ServingView {
   Digest digest;
-  std::map<std::string, int64_t> refusals;  // by code
+  std::map<std::string, int64_t> refusals;  // by error code
   int64_t queued = 0;
   int64_t running = 0;
 };
 
-// One host's control.
+// The control part of one host. Must be created, used and destroyed on the
+// control task.
 class Control {
  public:
   Control(const HostSettings& settings,
@@ -66,16 +68,17 @@
   Control(const Control&) = delete;
   Control& operator=(const Control&) = delete;
 
-  // Starts to listen to peers and to contend for the lease; answers the address
-  // with the port that was taken.
+  // Starts to listen for peers and to compete for the lease. Returns the peer
+  // address with the actual port.
   Result<SocketAddress> Start();
 
-  // News from the serving task.
+  // Input from the serving task: its state, an endpoint's load, and usage.
   void OnServingView(const ServingView& view);
   void OnLoad(const LoadReport& report);
   void OnUsage(const AccountId& account, const UsageCount& used);
 
-  // Claims a non-idempotent request; `done` is called on this task.
+  // Claims a non-idempotent request, so that no other host sends it. `done` is
+  // called on this task.
   void Claim(const ClaimRequest& request,
              std::function<void(ClaimResult)> done);
   void ForgetClaim(const RequestId& request) { this->claims->Forget(request); }
@@ -83,8 +86,8 @@
     this->claims->Withdraw(request);
   }
 
-  // Takes a request's tokens from its account's limit; `done` is called on this
-  // task unless the request is cancelled first.
+  // Takes a request's tokens from its account's limit. `done` is called on this
+  // task, possibly before the return, unless the request is cancelled first.
   void TakeTokens(const RequestId& request,
                   LimitAsk ask,
                   const std::function<void(const LimitDecision&)>& done);
@@ -93,14 +96,15 @@
     this->limits->GiveBack(account, unit, cost);
   }
 
-  // This host leaves: the others are told, and nothing new rests on it.
+  // Announces to the other hosts that this host is leaving, so that they assign
+  // nothing new to it.
   void StartDrain();
 
-  // Gives up the lease, hands over usage and withdraws claims of requests that
-  // didn't run; then calls back. Comes last.
+  // Last step of a planned stop: sends usage to other hosts, releases the
+  // lease, waits until claims are settled, and calls back.
   void HandOver(std::function<void()> on_released);
 
-  // This host's view of the fleet, as the admin page shows it.
+  // This host's view of the fleet, as /admin/status returns it.
   std::string StatusJson() const;
 
  private:
@@ -133,9 +137,10 @@
   std::unique_ptr<ClaimDriver> claims;
   std::map<RequestId, std::function<void(ClaimResult)>> claiming;
   std::unique_ptr<LimitGate> limits;
-  std::map<RequestId, int64_t> token_asks;  // undecided: numbers of the asks
+  std::map<RequestId, int64_t>
+      token_asks;  // by request: number of the pending ask
   UsageMeter usage;
-  AccountUsage shared_usage;  // as last sent to the keepers
+  AccountUsage shared_usage;  // as last sent
   std::set<HostId> shared_with;
   std::map<EndpointId, LoadReport> loads;
   ServingView view;
--- a/packages/daemon/coordinator_driver.cc
+++ b/packages/daemon/coordinator_driver.cc
@@ -12,7 +12,7 @@
 constexpr Duration kClaimTick = std::chrono::milliseconds(5);
 constexpr Duration kCoordinatorTick = std::chrono::milliseconds(50);
 
-// What an endpoint's or the platform's answer means to the coordinator.
+// Converts an endpoint's answer to a reply for the coordinator.
 OrderReply OutcomeOf(OrderState state) {
   switch (state) {
     case OrderState::kAccepted:
@@ -32,6 +32,7 @@
   return OrderReply::kNoReply;
 }
 
+// Converts the platform's answer to an order.
 OrderReply JudgeOrder(PlatformOutcome outcome) {
   switch (outcome) {
     case PlatformOutcome::kAccepted:
@@ -46,8 +47,9 @@
   return OrderReply::kNoReply;
 }
 
-// A refused report is sent again too: its figures are fixed, and dropping them
-// would leave the account unbilled.
+// Converts the platform's answer to a usage report. A refused report counts as
+// unanswered and is sent again: its figures are final, and dropping them would
+// leave the account unbilled.
 ReportReply JudgeReport(PlatformOutcome outcome) {
   switch (outcome) {
     case PlatformOutcome::kAccepted:
@@ -226,9 +228,9 @@
   this->outlets.store->RevokeLease(action.lease, [](const Result<int64_t>&) {});
 }
 
-// A host may be paused between deciding to send and sending. The check runs in
-// the step that hands the bytes to the socket, so an order that outlived its
-// sender's lease stays here.
+// A process may be suspended between the decision to send and the send. This
+// check runs in the step that passes the bytes to the socket, so no order is
+// sent after its sender's lease has expired.
 std::function<bool()> CoordinatorDriver::MaySend(int64_t fencing) const {
   return [this, fencing] {
     return this->coordinator.MayAct(this->clock.Now(), fencing);
--- a/packages/daemon/coordinator_driver.h
+++ b/packages/daemon/coordinator_driver.h
@@ -1,6 +1,11 @@
-// Carries out what a host's coordinator and its claims want, and hands them
-// the replies: store calls, orders to endpoints, orders and reports to the
-// platform. Lives on the control task.
+// Executes the actions of a host's coordinator and of its claims, and passes
+// the replies back: store calls, orders to endpoints, orders and usage reports
+// to the platform. Used only on the control task.
+//
+// Index
+//   ClaimDriver                 runs the claims of a host
+//   CoordinatorDependencies     clients and callbacks of a coordinator
+//   CoordinatorDriver           runs the coordinator of a host
 
 #pragma once
 
@@ -19,7 +24,8 @@
 
 namespace hickorystand {
 
-// Runs the claims of one host against the key-value service.
+// Runs the claims of one host against the key-value service. Each Claim() is
+// answered once through `answer`.
 class ClaimDriver {
  public:
   using Answer = std::function<void(const RequestId&, ClaimResult)>;
@@ -33,7 +39,8 @@
   void Forget(const RequestId& request) { this->book.Forget(request); }
   void Withdraw(const RequestId& request);
 
-  // Whether each claim was answered, and then sent or withdrawn for good.
+  // Whether every claim was answered, and its request was sent or the claim
+  // withdrawn.
   bool Settled() const { return this->book.Settled(); }
 
   const ClaimCounts& Counts() const { return this->book.Counts(); }
@@ -52,7 +59,7 @@
   std::unique_ptr<Timer> timer;
 };
 
-// What a coordinator reaches beyond its own state.
+// Clients and callbacks that a coordinator's actions need.
 struct CoordinatorOutlets {
   KeyValueStore* store = nullptr;
   PlatformClient* platform = nullptr;
@@ -67,20 +74,20 @@
                     const Clock& clock,
                     CoordinatorOutlets outlets);
 
-  // Proposes an order; answers its id, or why it can't be given.
+  // Proposes an order. Returns its id, or why it can't be accepted.
   Result<OrderId> Propose(const OrderRequest& request);
 
-  // The fleet has changed: where endpoints are, and which are gone.
+  // Applies a new configuration: addresses of endpoints, and removed endpoints.
   void ApplyConfiguration(const ConfigurationPtr& wanted);
 
-  // News, passed on to the coordinator.
+  // Input, passed on to the coordinator.
   void OnHosts(const std::vector<HostListing>& hosts);
   void OnReleased(const Release& release);
   void OnPeer(const HostId& host, uint64_t incarnation);
   void OnEndpointRestarted(const EndpointId& endpoint);
   void OnUsage(const UsageCopy& copy) { this->coordinator.OnUsage(copy); }
 
-  // Begins a planned release of the lease; Released() tells when it is over.
+  // Begins a planned release of the lease; Released() is true when it is done.
   void StartRelease();
   bool Released() const { return this->coordinator.Released(); }
 
--- a/packages/daemon/host_daemon.cc
+++ b/packages/daemon/host_daemon.cc
@@ -11,7 +11,7 @@
 
 constexpr std::string_view kPart = "host";
 
-// How long a host waits for callers to fetch the errors of ended requests.
+// How long to wait for callers to read the errors of ended requests.
 constexpr Duration kFinalAnswersWithin = std::chrono::seconds(1);
 
 GatewayOptions MakeGatewayOptions(const HostSettings& settings, uint64_t seed) {
@@ -63,10 +63,10 @@
   this->Stop();
 }
 
-// The gateway exists before the control task reads the store: that task hands
-// on each configuration once, and with nobody there to take it the host would
-// stay unready until an operator changes something. It listens only when the
-// control task is there for what its callers need.
+// The gateway is created before the control task reads the store: that task
+// passes on each configuration once, and without a gateway to receive it the
+// host would stay unready until the next configuration change. The gateway
+// listens only after the control task has started, because requests need it.
 Result<void> HostDaemon::Start() {
   this->MakeGateway();
   if (auto started = this->StartControl(); !started) {
@@ -76,9 +76,10 @@
 }
 
 Result<void> HostDaemon::StartControl() {
-  // Hosts keep nothing, so the incarnation comes from the clock on the wall. A
-  // clock set back would give a lower one; then the others ignore this host's
-  // digests until it has passed the old one, and nothing else depends on it.
+  // Hosts store nothing, so the incarnation is the wall clock time. If the
+  // clock was set back, the incarnation is lower than before, and the other
+  // hosts ignore this host's digests until the incarnation exceeds the old one.
+  // Nothing else depends on it.
   const auto incarnation =
       static_cast<uint64_t>(this->clock.WallMilliseconds());
   Result<void> result;
@@ -184,8 +185,8 @@
           });
     });
   };
-  // A host that slept for longer than its claim's record is sure to last must
-  // not send: somebody else may have claimed the same request since.
+  // A process that was suspended for longer than its claim's record is sure to
+  // last must not send, as another host may have claimed the request since.
   hooks.may_send = [this](const RequestId& request) {
     const auto found = this->claimed_until.find(request);
     return found != this->claimed_until.end() &&
@@ -261,8 +262,8 @@
   });
 }
 
-// The balancer notices a failing /readyz only after a while. Until then callers
-// still come, and refusing them would cut them off.
+// The load balancer reacts to a failing /readyz with a delay. Until then it
+// still sends callers, and refusing them would cut them off.
 void HostDaemon::AnnounceLeaving() {
   const Instant ends_at = this->clock.Now() + this->settings.drain_notice +
                           this->settings.drain_limit;
@@ -285,7 +286,7 @@
   if (this->finishing) {
     return;
   }
-  LogWarning(kPart, "Requests are still running at the drain limit.");
+  LogWarning(kPart, "Drain limit reached; ending running requests.");
   this->serving_task.Post([this] {
     this->gateway->EndRequests(
         [this] { this->control_task.Post([this] { this->Finish(); }); });
@@ -298,7 +299,7 @@
   if (std::exchange(this->finishing, true)) {
     return;
   }
-  LogInfo(kPart, "Usage and lease are handed over.");
+  LogInfo(kPart, "Handing over usage and lease.");
   this->control->HandOver([this] {
     LogInfo(kPart, "Planned stop is complete.");
     this->on_stopped();
@@ -318,8 +319,8 @@
     }
   });
   answered->get_future().wait_for(kFinalAnswersWithin);
-  // Each part is destroyed on its own task; work that the other one still
-  // posts is dropped with the task.
+  // Each part is destroyed on its own task. Work that the other task still
+  // posts to a stopped task is dropped.
   this->serving_task.Post([this] { this->gateway.reset(); });
   this->serving_task.Stop();
   this->control_task.Post([this] {
--- a/packages/daemon/host_daemon.h
+++ b/packages/daemon/host_daemon.h
@@ -1,15 +1,18 @@
-// One entry host, put together: the serving task with the gateway, the control
-// task with everything that hosts agree on, and the messages between the two.
+// One complete host: the serving task with the gateway, the control task with
+// the coordination between hosts, and the messages between the two tasks.
 //
 //   HostDaemon host(settings, clock, on_stopped);
 //   if (auto started = host.Start(); !started) { ... }
-//   host.Drain();   // a planned stop; on_stopped is called when all is done
+//   host.Drain();   // a planned stop; on_stopped is called when it is complete
 //   host.Stop();
 //
-// A planned stop takes five steps, in this order, so that nobody is cut off:
-// not ready (the balancer looks away), callers are refused as not run, running
-// requests finish, usage and the lease are handed over, and the tasks end. What
-// can't be finished by the drain limit is refused from the start.
+// A planned stop takes five steps, in this order, so that no caller is cut off:
+//   1. /readyz fails, so that the load balancer stops sending callers;
+//   2. new requests are refused as not run;
+//   3. running requests finish;
+//   4. usage and the lease are handed over;
+//   5. the tasks end.
+// Requests that can't finish before the drain limit are refused from the start.
 
 #pragma once
 
@@ -28,11 +31,12 @@
 
 namespace hickorystand {
 
-// A running entry host.
+// A running host. Start() and Stop() are called by the thread that owns it;
+// Drain() by any thread.
 class HostDaemon {
  public:
   // `on_stopped` is called once, on the control task, when a planned stop is
-  // complete, whoever asked for it: a signal, an operator.
+  // complete, whether a signal or an operator requested it.
   HostDaemon(HostSettings settings,
              const Clock& clock,
              std::function<void()> on_stopped);
@@ -40,18 +44,18 @@
   HostDaemon(const HostDaemon&) = delete;
   HostDaemon& operator=(const HostDaemon&) = delete;
 
-  // Starts both tasks and their sockets; says which one couldn't be opened.
+  // Starts both tasks and opens their sockets. The error names the socket that
+  // couldn't be opened.
   Result<void> Start();
 
-  // Begins a planned stop. Asking twice changes nothing.
+  // Begins a planned stop. Further calls have no effect.
   void Drain();
 
-  // Ends both tasks without a planned stop. Requests under way are answered
-  // with an error first, which takes a second at most.
+  // Ends both tasks without a planned stop. Running requests are answered with
+  // an error first, which takes at most one second.
   void Stop();
 
-  // Where callers are served, operators answered and peers accepted; known
-  // after Start().
+  // Listening addresses for callers, operators and peers; set by Start().
   const SocketAddress& GatewayAddress() const { return this->gateway_address; }
   const SocketAddress& AdminAddress() const { return this->admin_address; }
   const SocketAddress& PeerAddress() const { return this->peer_address; }
@@ -76,18 +80,19 @@
   SocketAddress admin_address;
   SocketAddress peer_address;
   std::function<void()> on_stopped;
-  bool draining = false;   // of the control task
-  bool finishing = false;  // of the control task
-  bool stopped = false;    // of the thread that calls Stop()
+  bool draining = false;   // used on the control task only
+  bool finishing = false;  // used on the control task only
+  bool stopped = false;    // used by the thread that calls Stop()
   // Until when claimed requests may be sent; used on the serving task only.
   std::map<RequestId, Instant> claimed_until;
-  // The parts of each task; made, used and destroyed there.
+  // The gateway belongs to the serving task, all else to the control task; each
+  // is created, used and destroyed on its task.
   std::unique_ptr<Gateway> gateway;
   std::unique_ptr<Control> control;
   std::unique_ptr<AdminServer> admin;
-  std::unique_ptr<Timer> notice_timer;  // of the control task
-  std::unique_ptr<Timer> limit_timer;   // of the control task
-  std::unique_ptr<Timer> answer_timer;  // of the control task
+  std::unique_ptr<Timer> notice_timer;
+  std::unique_ptr<Timer> limit_timer;
+  std::unique_ptr<Timer> answer_timer;
   Task serving_task;
   Task control_task;
 };
--- a/packages/daemon/host_settings.cc
+++ b/packages/daemon/host_settings.cc
@@ -16,13 +16,14 @@
 constexpr int64_t kMebibyte = int64_t{1024} * 1024;
 constexpr int64_t kSecondInMilliseconds = 1000;
 
-// The first line of a secret's file, without which the file is refused.
+// Returns the first line of a secret file, or an error if it is missing or too
+// short.
 Result<std::string> ReadSecret(const std::string& path) {
   std::ifstream in(path);
   std::string line;
   if (!in || !std::getline(in, line)) {
     return Fail(ErrorKind::kBadSetting,
-                path + ": the secret's file can't be read or is empty");
+                path + ": secret file can't be read or is empty");
   }
   if (line.size() < kMinimumSecretBytes) {
     return Fail(ErrorKind::kBadSetting,
@@ -37,18 +38,18 @@
       {.section = "host",
        .key = "id",
        .required = true,
-       .help = "name of this entry host, unique in the fleet"},
+       .help = "name of this host, unique in the fleet"},
       {.section = "host",
        .key = "data_centre",
        .required = true,
-       .help = "name of the data centre in which this host stands"},
+       .help = "name of the data centre of this host"},
       {.section = "host",
        .key = "drain_notice",
        .type = SettingType::kDuration,
        .fallback = "5s",
        .maximum = 600 * kSecondInMilliseconds,
-       .help = "how long a stopping host serves on after /readyz fails, so "
-               "that the balancer notices"},
+       .help = "how long a stopping host still accepts requests after "
+               "/readyz fails, so that the balancer notices"},
       {.section = "host",
        .key = "drain_limit",
        .type = SettingType::kDuration,
@@ -64,7 +65,7 @@
        .key = "listen",
        .type = SettingType::kAddress,
        .required = true,
-       .help = "address towards callers"},
+       .help = "listening address for callers"},
       {.section = "gateway",
        .key = "tls_certificate_file",
        .help = "PEM certificate chain; without it callers use plain HTTP"},
@@ -77,14 +78,14 @@
        .fallback = "4194304",
        .minimum = 1024,
        .maximum = 256 * kMebibyte,
-       .help = "longest request body"},
+       .help = "maximum size of a request body, in bytes"},
       {.section = "gateway",
        .key = "max_queued",
        .type = SettingType::kInteger,
        .fallback = "4096",
        .minimum = 1,
        .maximum = 1000000,
-       .help = "requests that may wait on this host"},
+       .help = "maximum number of requests queued on this host"},
       {.section = "gateway",
        .key = "dispatcher",
        .type = SettingType::kChoice,
@@ -100,7 +101,7 @@
        .key = "listen",
        .type = SettingType::kAddress,
        .required = true,
-       .help = "address towards operators"},
+       .help = "listening address for operators"},
       {.section = "admin",
        .key = "token_file",
        .required = true,
@@ -109,7 +110,7 @@
        .key = "listen",
        .type = SettingType::kAddress,
        .required = true,
-       .help = "address towards the other entry hosts"},
+       .help = "listening address for the other hosts"},
       {.section = "peers",
        .key = "secret_file",
        .required = true,
@@ -144,14 +145,14 @@
        .key = "address",
        .type = SettingType::kAddress,
        .required = true,
-       .help = "address of endpoint orders, usage reports and host list"},
+       .help = "address for endpoint orders, usage reports and the host list"},
       {.section = "platform",
        .key = "timeout",
        .type = SettingType::kDuration,
        .fallback = "2s",
        .minimum = 50,
        .maximum = 60 * kSecondInMilliseconds,
-       .help = "how long one call to the platform may take"},
+       .help = "timeout of one call to the platform"},
       {.section = "platform",
        .key = "lease_length",
        .type = SettingType::kDuration,
@@ -165,7 +166,7 @@
        .fallback = "2s",
        .minimum = 100,
        .maximum = 60 * kSecondInMilliseconds,
-       .help = "how long before its end the holder stops to act on a lease"},
+       .help = "how long before a lease expires its holder stops acting on it"},
       {.section = "platform",
        .key = "usage_window",
        .type = SettingType::kDuration,
@@ -183,17 +184,18 @@
        .type = SettingType::kChoice,
        .fallback = "info",
        .choices = {"debug", "info", "warning", "error"},
-       .help = "least level that is written"},
+       .help = "minimum level that is logged"},
       {.section = "log",
        .key = "format",
        .type = SettingType::kChoice,
        .fallback = "text",
        .choices = {"text", "json"},
-       .help = "form of a line"},
+       .help = "format of a log line"},
   };
 }
 
-// An address that the schema already checked; empty settings stay empty.
+// Parses an address that the schema has checked. An empty setting gives an
+// empty address.
 SocketAddress AddressIn(const std::string& text) {
   return ParseAddress(text).value_or(SocketAddress{});
 }
@@ -245,10 +247,11 @@
       .digest_interval = settings.Length("peers", "digest_interval")};
 }
 
-// Rules that bind two settings to each other.
+// Checks rules that concern two settings. Returns the error text, or nothing.
 std::string CheckTogether(const HostSettings& host) {
   if (host.gateway.certificate_file.empty() != host.gateway.key_file.empty()) {
-    return "[gateway] tls_certificate_file and tls_key_file go together";
+    return "[gateway] tls_certificate_file and tls_key_file must be set "
+           "together";
   }
   if (host.platform.lease_margin * 2 >= host.platform.lease_length) {
     return "[platform] lease_margin must be under half of lease_length";
--- a/packages/daemon/host_settings.h
+++ b/packages/daemon/host_settings.h
@@ -1,8 +1,11 @@
-// The settings of one entry host, as hickorystandd reads them from its file.
+// The settings file of a host that runs hickorystandd.
 //
-// docs/CONFIGURATION.md lists every key. Only what a host must know before it
-// can reach the platform stands here; everything else about the fleet is
-// configuration, which the platform's key-value service keeps.
+// docs/CONFIGURATION.md lists every key. The file holds only what a host needs
+// to reach the platform; everything else about the fleet is configuration,
+// which the platform's key-value service stores.
+//
+//   const auto settings = LoadHostSettings("host.ini");
+//   if (!settings) { ... settings.error().message ... }
 
 #pragma once
 
@@ -18,7 +21,7 @@
 
 namespace hickorystand {
 
-// Where callers are served.
+// Section [gateway]: the HTTP interface for callers.
 struct GatewaySettings {
   SocketAddress listen;
   std::string certificate_file;  // empty: plain HTTP
@@ -30,7 +33,7 @@
   auto operator<=>(const GatewaySettings&) const = default;
 };
 
-// Where operators reach this host.
+// Section [admin]: the HTTP interface for operators.
 struct AdminSettings {
   SocketAddress listen;
   std::string token;
@@ -38,17 +41,18 @@
   auto operator<=>(const AdminSettings&) const = default;
 };
 
-// How this host talks with the other entry hosts.
+// Section [peers]: the links to the other hosts.
 struct PeerSettings {
   SocketAddress listen;
   std::string secret;
-  std::string previous_secret;  // accepted as well while a secret is replaced
+  std::string previous_secret;  // also accepted during a secret rotation
   Duration digest_interval{};
 
   auto operator<=>(const PeerSettings&) const = default;
 };
 
-// How this host reaches the platform.
+// Section [platform]: how this host reaches the platform, and the data centre's
+// lease.
 struct PlatformSettings {
   std::string store;  // name of the plug-in
   std::vector<SocketAddress> store_addresses;
@@ -61,12 +65,12 @@
   auto operator<=>(const PlatformSettings&) const = default;
 };
 
-// Everything that hickorystandd takes from its file.
+// All settings of a host.
 struct HostSettings {
   HostId host;
   DataCentreId data_centre;
-  Duration drain_notice{};  // from not ready until callers are turned away
-  Duration drain_limit{};   // after that, running requests are waited for
+  Duration drain_notice{};  // from a failing /readyz until callers are refused
+  Duration drain_limit{};   // then, the longest wait for running requests
   GatewaySettings gateway;
   AdminSettings admin;
   PeerSettings peers;
@@ -77,11 +81,11 @@
   auto operator<=>(const HostSettings&) const = default;
 };
 
-// The schema: every key with its type, range, default and meaning.
+// The schema of the file: every key with its type, range, default and help.
 std::vector<SettingRule> HostSettingRules();
 
-// Reads, checks and completes the settings in a file, with the secrets from
-// the files that it names.
+// Reads and checks the settings in a file, fills in defaults, and reads the
+// secrets from the files that it names. Errors are of kind kBadSetting.
 Result<HostSettings> LoadHostSettings(const std::string& path);
 
 }  // namespace hickorystand
--- a/packages/daemon/program/main.cc
+++ b/packages/daemon/program/main.cc
@@ -1,4 +1,4 @@
-// hickorystandd: the program of an entry host.
+// hickorystandd: the server program of a host, stand-alone or relay.
 
 #include <glib-unix.h>
 #include <glib.h>
@@ -27,7 +27,7 @@
 cxxopts::Options CommandLine() {
   cxxopts::Options options(
       "hickorystandd",
-      "Serves callers of language models and plain services from one entry "
+      "Serves callers of language models and plain services from one "
       "host.\n\nIt stops gracefully on SIGTERM and SIGINT: it finishes what "
       "runs, hands over\nits lease and usage, and exits with 0. A second "
       "signal "
@@ -36,7 +36,7 @@
       "config", "Settings of this host (INI); default $HICKORYSTAND_SETTINGS",
       cxxopts::value<std::string>(),
       "FILE")("check", "Check the settings and exit")(
-      "log-level", "Least level to write: debug, info, warning or error",
+      "log-level", "Minimum log level: debug, info, warning or error",
       cxxopts::value<std::string>(),
       "LEVEL")("list-plugins", "Print the plug-ins that settings may name")(
       "version", "Print the version")("h,help", "Print this help");
@@ -52,7 +52,7 @@
   std::cout << '\n';
 }
 
-// What both signals share.
+// State shared by the handlers of SIGTERM and SIGINT.
 struct SignalState {
   HostDaemon* host;
   GMainLoop* loop;
@@ -91,15 +91,15 @@
   return 0;
 }
 
-// How often the settings file is looked at: it may change without a signal, and
-// not every system tells of a changed file.
+// Polling interval of the settings file. It may change without a SIGHUP, and
+// not every file system reports changes.
 constexpr guint kLookSeconds = 2;
 
-// What the signals of a relay host share.
+// State shared by the reload handlers of a relay host.
 struct RelaySignals {
   RelayDaemon* host;
-  std::string path;  // of the settings
-  std::string text;  // of the file when it was last read
+  std::string path;  // of the settings file
+  std::string text;  // content of the file when last read
 };
 
 std::string TextOf(const std::string& path) {
@@ -115,7 +115,7 @@
   if (const auto read = LoadRelaySettings(signals->path)) {
     signals->host->Reload(*read);
   } else {
-    LogError(kPart, "Changed settings are wrong and not taken.",
+    LogError(kPart, "Changed settings are invalid; keeping the previous ones.",
              {{"why", read.error().message}});
   }
   return G_SOURCE_CONTINUE;
@@ -124,7 +124,7 @@
 gboolean OnRelayLook(gpointer data) {
   auto* signals = static_cast<RelaySignals*>(data);
   const std::string text = TextOf(signals->path);
-  // An empty file is one that is being written.
+  // An empty file is in the middle of being written.
   return text.empty() || text == signals->text ? G_SOURCE_CONTINUE
                                                : OnRelayReload(data);
 }
@@ -136,18 +136,20 @@
     return AnswerFor(settings.error().kind).exit_code;
   }
   if (check_only) {
-    std::cout << "The settings are right.\n";
+    std::cout << "The settings are valid.\n";
     return 0;
   }
   StartLog(
       {.level = settings->log_level, .json = true, .standard_output = true});
   std::signal(SIGPIPE, SIG_IGN);
-  // Until it is watched; a changed file is noticed without the signal.
+  // Ignored until its handler is installed; polling detects a file that changes
+  // before that.
   std::signal(SIGHUP, SIG_IGN);
   const BootClock clock;
   GMainLoop* loop = g_main_loop_new(nullptr, FALSE);
   RelayDaemon host(*settings, clock, [loop] { g_main_loop_quit(loop); });
-  // Before the host takes its first request; the call waits for the main loop.
+  // Installed before the host accepts its first request. The callback runs when
+  // the main loop runs.
   const StopSignal stop([&host](Instant arrived) { host.Drain(arrived); });
   if (const auto started = host.Start(); !started) {
     LogError(kPart, "Host can't start.", {{"why", started.error().message}});
@@ -165,7 +167,8 @@
   return 0;
 }
 
-// The settings' path: as given, or as the environment names it.
+// Returns the settings path from --config or $HICKORYSTAND_SETTINGS, or
+// nothing.
 std::string SettingsPath(const cxxopts::ParseResult& arguments) {
   if (arguments.count("config") > 0) {
     return arguments["config"].as<std::string>();
@@ -200,16 +203,17 @@
   if (arguments.count("log-level") > 0 &&
       !ParseLogLevel(arguments["log-level"].as<std::string>(),
                      settings->log_level)) {
-    std::cerr << "hickorystandd: --log-level takes debug, info, warning or "
+    std::cerr << "hickorystandd: --log-level must be debug, info, warning or "
                  "error\n";
     return AnswerFor(ErrorKind::kBadSetting).exit_code;
   }
   if (arguments.count("check") > 0) {
-    std::cout << "The settings are right.\n";
+    std::cout << "The settings are valid.\n";
     return 0;
   }
   StartLog({.level = settings->log_level, .json = settings->log_json});
-  // A caller or a peer that hangs up must not end the process.
+  // A write to a connection that a caller or peer has closed must not end the
+  // process.
   std::signal(SIGPIPE, SIG_IGN);
   return Run(*settings);
 }
--- a/packages/daemon/status_page.cc
+++ b/packages/daemon/status_page.cc
@@ -34,7 +34,7 @@
   out.EndArray();
 }
 
-// Plain services report no load, so nothing is known of them here.
+// Plain services report no load, so their state is only "listed".
 const char* StateOf(const HostStatus& status, const Endpoint& endpoint) {
   const auto found = status.loads.find(endpoint.id);
   if (found == status.loads.end()) {
@@ -63,7 +63,8 @@
   out.EndArray();
 }
 
-// What each account was served by the hosts of this data centre.
+// Sums each account's served cost and waiting requests over the hosts of this
+// data centre.
 std::map<AccountId, AccountServed> SumServed(const HostStatus& status) {
   std::map<AccountId, AccountServed> sums;
   for (const auto& [host, digest] : status.digests) {
@@ -77,8 +78,9 @@
   return sums;
 }
 
-// An account's share is its service over what its weight entitles it to among
-// all that were served. Below 1 it got less, which is only unfair if it waits.
+// An account's share is its served cost divided by its weighted fair part of
+// the total served cost. A value below 1 means that it received less, which is
+// unfair only if it has waiting requests.
 void WriteAccounts(JsonWriter& out, const HostStatus& status) {
   const auto sums = SumServed(status);
   double cost = 0;
--- a/packages/daemon/status_page.h
+++ b/packages/daemon/status_page.h
@@ -1,4 +1,5 @@
-// The status of one host as JSON: what `hickoryctl status` puts together.
+// The status of one host as JSON, served at /admin/status. `hickoryctl status`
+// combines the status of several hosts.
 
 #pragma once
 
@@ -16,16 +17,16 @@
 
 namespace hickorystand {
 
-// This host's part in the limits of client accounts.
+// State of this host's share of the client accounts' limits.
 struct LimitsStatus {
-  Duration window{};                  // over which use is counted
-  double share = 0;                   // of each limit
-  std::optional<Duration> share_age;  // since it was confirmed; nothing: none
+  Duration window{};                  // in which usage is counted
+  double share = 0;                   // fraction of each limit, 0 to 1
+  std::optional<Duration> share_age;  // since last confirmed; empty: no share
   int64_t holders_revision = 0;       // of the record of share holders
   std::vector<LimitUse> accounts;
 };
 
-// Everything that the page shows.
+// The content of the status page.
 struct HostStatus {
   HostId host;
   DataCentreId data_centre;
@@ -37,7 +38,7 @@
   int64_t fencing = 0;
   bool lease_held = false;
   std::vector<Member> members;
-  std::map<HostId, Digest> digests;  // the last of each host, this one included
+  std::map<HostId, Digest> digests;  // latest of each host, including this one
   std::map<EndpointId, LoadReport> loads;
   std::map<std::string, int64_t> refusals;
   int64_t queued = 0;
@@ -46,7 +47,7 @@
   LimitsStatus limits;
 };
 
-// The page.
+// Returns the status as JSON.
 std::string WriteStatus(const HostStatus& status);
 
 }  // namespace hickorystand
--- a/packages/http/http_server.cc
+++ b/packages/http/http_server.cc
@@ -373,7 +373,7 @@
   const ObjectPtr<GSocketAddress> address(g_inet_socket_address_new_from_string(
       this->options.listen.host.c_str(), this->options.listen.port));
   if (!address) {
-    return Fail(ErrorKind::kBadSetting, "listen: not an IP number.");
+    return Fail(ErrorKind::kBadSetting, "listen: expected an IP address.");
   }
   const ObjectPtr<GSocket> socket = ListeningSocket(address.get(), &error);
   if (!socket || !soup_server_listen_socket(
