--- a/packages/daemon/admin_server.cc
+++ b/packages/daemon/admin_server.cc
@@ -15,9 +15,10 @@
 bool EqualInConstantTime(std::string_view given, std::string_view wanted) {
   unsigned difference = given.size() == wanted.size() ? 0 : 1;
   for (size_t i = 0; i < given.size(); ++i) {
-    const auto mine = static_cast<unsigned char>(given[i]);
-    const auto theirs = static_cast<unsigned char>(wanted[i % wanted.size()]);
-    difference |= static_cast<unsigned>(mine ^ theirs);
+    const auto given_byte = static_cast<unsigned char>(given[i]);
+    const auto wanted_byte =
+        static_cast<unsigned char>(wanted[i % wanted.size()]);
+    difference |= static_cast<unsigned>(given_byte ^ wanted_byte);
   }
   return difference == 0;
 }
--- a/packages/daemon/control.cc
+++ b/packages/daemon/control.cc
@@ -297,14 +297,14 @@
   LogInfo(kPart, "Configuration in force.",
           {{"revision", std::to_string(next->revision)},
            {"endpoints", std::to_string(next->endpoints.size())}});
-  std::map<EndpointId, DataCentreId> places;
+  std::map<EndpointId, DataCentreId> data_centres;
   for (const auto& [id, endpoint] : next->endpoints) {
-    places[id] = endpoint.data_centre;
+    data_centres[id] = endpoint.data_centre;
   }
   std::erase_if(this->loads, [&](const auto& entry) {
-    return !places.contains(entry.first);
+    return !data_centres.contains(entry.first);
   });
-  this->peers->SetEndpoints(std::move(places));
+  this->peers->SetEndpoints(std::move(data_centres));
   this->coordinator->ApplyConfiguration(next);
   this->limits->SetLimits(LimitsOf(*next));
   this->CheckKeys();
@@ -336,10 +336,10 @@
     if (const auto read = DecodeUsageCopy(copy->value)) {
       this->coordinator->OnUsage(*read);
     }
-  } else if (const auto* word = std::get_if<Released>(&message)) {
+  } else if (const auto* released = std::get_if<Released>(&message)) {
     this->coordinator->OnReleased({.host = from,
-                                   .incarnation = word->incarnation,
-                                   .fencing = word->fencing});
+                                   .incarnation = released->incarnation,
+                                   .fencing = released->fencing});
   } else if (const auto* tokens = std::get_if<LimitTokens>(&message)) {
     this->limits->OnMessage(from, *tokens);
   }
@@ -382,11 +382,11 @@
 // keeps the higher value. New receivers get all of them.
 void Control::ShareUsage() {
   this->coordinator->OnUsage(this->usage.Copy());
-  const std::set<HostId> keepers = this->UsageKeepers();
-  const bool everything = keepers != this->shared_with;
+  const std::set<HostId> receivers = this->UsageKeepers();
+  const bool send_all = receivers != this->shared_with;
   const AccountUsage& counts = this->usage.Copy().counts;
   const AccountUsage changed =
-      everything ? counts : Changed(this->shared_usage, counts);
+      send_all ? counts : Changed(this->shared_usage, counts);
   if (changed.empty()) {
     return;
   }
@@ -395,21 +395,21 @@
       .incarnation = this->incarnation,
       .value = EncodeUsageCopy(
           {.source = this->usage.Copy().source, .counts = changed})};
-  const bool all_told = std::ranges::all_of(keepers, [&](const HostId& host) {
+  const bool all_sent = std::ranges::all_of(receivers, [&](const HostId& host) {
     return this->peers->Send(host, message);
   });
-  if (all_told) {
+  if (all_sent) {
     this->shared_usage = counts;
-    this->shared_with = keepers;
+    this->shared_with = receivers;
   }
 }
 
 std::set<HostId> Control::UsageKeepers() const {
   const HostId holder(this->coordinator->State().Authority().LastHolder());
-  std::set<HostId> keepers{holder, this->peers->Deputy(holder)};
-  keepers.erase(HostId());
-  keepers.erase(this->settings.host);
-  return keepers;
+  std::set<HostId> receivers{holder, this->peers->Deputy(holder)};
+  receivers.erase(HostId());
+  receivers.erase(this->settings.host);
+  return receivers;
 }
 
 // Revocations of keys don't arrive while this data centre is disconnected from
--- a/packages/http/http_client.cc
+++ b/packages/http/http_client.cc
@@ -114,13 +114,14 @@
   SoupMessage* raw = this->message.get();
   // For methods that libsoup resends by itself, it repeats the Content-Length
   // but not the body, and the peer waits for a body that never arrives.
-  const bool repeated_badly =
+  const bool resend_loses_body =
       g_bytes_get_size(this->body.get()) > 0 && this->outgoing.method != "POST";
-  const bool fresh = this->outgoing.once || this->relaunched || repeated_badly;
-  soup_message_add_flags(
-      raw, static_cast<SoupMessageFlags>(SOUP_MESSAGE_NO_REDIRECT |
-                                         (fresh ? SOUP_MESSAGE_NEW_CONNECTION
-                                                : SOUP_MESSAGE_IDEMPOTENT)));
+  const bool new_connection =
+      this->outgoing.once || this->relaunched || resend_loses_body;
+  soup_message_add_flags(raw, static_cast<SoupMessageFlags>(
+                                  SOUP_MESSAGE_NO_REDIRECT |
+                                  (new_connection ? SOUP_MESSAGE_NEW_CONNECTION
+                                                  : SOUP_MESSAGE_IDEMPOTENT)));
   AppendHeaders(soup_message_get_request_headers(raw), this->outgoing.headers);
   if (g_bytes_get_size(this->body.get()) > 0) {
     const std::string& type = this->outgoing.content_type;
@@ -188,9 +189,9 @@
   if (!this->once_socket || g_socket_is_closed(this->once_socket.get())) {
     return;
   }
-  const linger at_once{.l_onoff = 1, .l_linger = 0};
+  const linger reset_on_close{.l_onoff = 1, .l_linger = 0};
   if (setsockopt(g_socket_get_fd(this->once_socket.get()), SOL_SOCKET,
-                 SO_LINGER, &at_once, sizeof at_once) != 0) {
+                 SO_LINGER, &reset_on_close, sizeof reset_on_close) != 0) {
     LogWarning("http", "Cannot set SO_LINGER; connection is not reset.");
   }
 }
@@ -397,16 +398,16 @@
   const HttpTimeouts timeouts =
       outgoing.timeouts.value_or(this->options.timeouts);
   HttpPoolPtr pool = this->PoolFor(address);
-  const HttpPool* used = pool.get();
+  const HttpPool* used_pool = pool.get();
   const auto exchange = std::make_shared<HttpExchange>(
       std::move(pool), std::move(outgoing), std::move(events), timeouts);
   // Whatever stalled one connection is likely to have stalled the idle ones to
   // the same address too, so the whole pool is replaced. Exchanges in progress
   // keep the old pool until they end; each has its own progress check.
   exchange->Start(
-      [used, address, pools = this->pools, renewals = this->renewals] {
+      [used_pool, address, pools = this->pools, renewals = this->renewals] {
         const auto found = pools->find(address);
-        if (found != pools->end() && found->second.get() == used) {
+        if (found != pools->end() && found->second.get() == used_pool) {
           pools->erase(found);
           ++*renewals;
         }
--- a/packages/http/stream_socket.cc
+++ b/packages/http/stream_socket.cc
@@ -35,9 +35,10 @@
   return socket;
 }
 
-void SetDelivery(GSocket* socket, Duration silence) {
+void SetDelivery(GSocket* socket, Duration ack_timeout) {
   const auto milliseconds =
-      std::chrono::duration_cast<std::chrono::milliseconds>(silence).count();
+      std::chrono::duration_cast<std::chrono::milliseconds>(ack_timeout)
+          .count();
   g_socket_set_option(socket, IPPROTO_TCP, TCP_NODELAY, 1, nullptr);
   g_socket_set_option(socket, IPPROTO_TCP, TCP_USER_TIMEOUT,
                       static_cast<gint>(milliseconds), nullptr);
@@ -62,14 +63,14 @@
 }
 
 StreamSocketPtr StreamSocket::Connect(const SocketAddress& address,
-                                      Duration silence,
+                                      Duration ack_timeout,
                                       StreamEvents events) {
   StreamSocketPtr made(new StreamSocket(MakeSocket(), std::move(events)));
   made->state = State::kConnecting;
   const auto to = MakeAddress(address);
   GError* raw = nullptr;
   if (made->socket && to) {
-    SetDelivery(made->socket.get(), silence);
+    SetDelivery(made->socket.get(), ack_timeout);
     if (g_socket_connect(made->socket.get(), to.get(), nullptr, &raw) ||
         g_error_matches(raw, G_IO_ERROR, G_IO_ERROR_PENDING)) {
       g_clear_error(&raw);
@@ -88,10 +89,10 @@
 }
 
 StreamSocketPtr StreamSocket::Adopt(ObjectPtr<GSocket> socket,
-                                    Duration silence,
+                                    Duration ack_timeout,
                                     StreamEvents events) {
   g_socket_set_blocking(socket.get(), FALSE);
-  SetDelivery(socket.get(), silence);
+  SetDelivery(socket.get(), ack_timeout);
   StreamSocketPtr made(new StreamSocket(std::move(socket), std::move(events)));
   made->WatchInput();
   return made;
@@ -260,9 +261,9 @@
 
 void StreamSocket::Reset() {
   if (this->socket && this->state != State::kOver) {
-    const linger at_once{.l_onoff = 1, .l_linger = 0};
+    const linger reset_on_close{.l_onoff = 1, .l_linger = 0};
     setsockopt(g_socket_get_fd(this->socket.get()), SOL_SOCKET, SO_LINGER,
-               &at_once, sizeof at_once);
+               &reset_on_close, sizeof reset_on_close);
   }
   this->Close();
 }
--- a/packages/http/stream_socket.h
+++ b/packages/http/stream_socket.h
@@ -48,16 +48,16 @@
 // it was created.
 class StreamSocket : public std::enable_shared_from_this<StreamSocket> {
  public:
-  // Starts to connect. `silence` limits how long sent bytes may stay
+  // Starts to connect. `ack_timeout` limits how long sent bytes may stay
   // unacknowledged (TCP_USER_TIMEOUT); without it, a peer that disappears
   // without a reset is not detected.
   static std::shared_ptr<StreamSocket> Connect(const SocketAddress& address,
-                                               Duration silence,
+                                               Duration ack_timeout,
                                                StreamEvents events);
 
   // Takes over an accepted connection.
   static std::shared_ptr<StreamSocket> Adopt(ObjectPtr<GSocket> socket,
-                                             Duration silence,
+                                             Duration ack_timeout,
                                              StreamEvents events);
 
   ~StreamSocket();
