--- a/packages/daemon/control.h
+++ b/packages/daemon/control.h
@@ -1,7 +1,7 @@
-// The control task of a host: all coordination between hosts, apart from the
-// requests themselves. It keeps the configuration up to date, competes for the
-// data centre's lease, sends orders, makes claims, counts usage, and exchanges
-// messages with the other hosts.
+// The control task of a stand-alone host: all coordination between hosts, apart
+// from the requests themselves. It keeps the configuration up to date, competes
+// for the data centre's lease, sends orders, makes claims, counts usage, and
+// exchanges messages with the other hosts.
 //
 // Everything here runs on one task. The serving task receives ControlEvents and
 // calls the functions of Control; both directions go through Task::Post.
--- a/packages/daemon/host_daemon.h
+++ b/packages/daemon/host_daemon.h
@@ -1,5 +1,5 @@
-// One complete host: the serving task with the gateway, the control task with
-// the coordination between hosts, and the messages between the two tasks.
+// One complete stand-alone host: the serving task with the gateway, the control
+// task with the coordination between hosts, and the messages between the two.
 //
 //   HostDaemon host(settings, clock, on_stopped);
 //   if (auto started = host.Start(); !started) { ... }
@@ -31,8 +31,8 @@
 
 namespace hickorystand {
 
-// A running host. Start() and Stop() are called by the thread that owns it;
-// Drain() by any thread.
+// A running stand-alone host. Start() and Stop() are called by the thread that
+// owns it; Drain() by any thread.
 class HostDaemon {
  public:
   // `on_stopped` is called once, on the control task, when a planned stop is
--- a/packages/daemon/host_settings.h
+++ b/packages/daemon/host_settings.h
@@ -1,4 +1,5 @@
-// The settings file of a host that runs hickorystandd.
+// The settings file of a stand-alone host; relay_settings.h has that of a relay
+// host.
 //
 // docs/CONFIGURATION.md lists every key. The file holds only what a host needs
 // to reach the platform; everything else about the fleet is configuration,
@@ -65,7 +66,7 @@
   auto operator<=>(const PlatformSettings&) const = default;
 };
 
-// All settings of a host.
+// All settings of a stand-alone host.
 struct HostSettings {
   HostId host;
   DataCentreId data_centre;
