--- a/packages/http/stream_socket.cc
+++ b/packages/http/stream_socket.cc
@@ -10,14 +10,14 @@
 namespace hickorystand {
 namespace {
 
-// Read at once. Larger reads would let one fast peer hold up all others.
+// Bytes per read. Larger reads would let one fast peer delay all others.
 constexpr size_t kReadBlock = size_t{32} << 10;
 
-// Connections that wait to be accepted; beyond it opening packets are dropped
-// and come again only after a second.
+// Connections waiting to be accepted. Beyond it the kernel drops SYN packets,
+// which the client resends only after a second.
 constexpr int kBacklog = 512;
 
-// How long a peer may take to close in turn, once all was sent.
+// How long to wait for the peer to close its side once all bytes are sent.
 constexpr Duration kCloseLimit = std::chrono::seconds(1);
 
 ObjectPtr<GSocketAddress> MakeAddress(const SocketAddress& address) {
@@ -35,9 +35,10 @@
   return socket;
 }
 
-void SetDelivery(GSocket* socket, Duration silence) {
+void SetDelivery(GSocket* socket, Duration ack_timeout) {
   const auto milliseconds =
-      std::chrono::duration_cast<std::chrono::milliseconds>(silence).count();
+      std::chrono::duration_cast<std::chrono::milliseconds>(ack_timeout)
+          .count();
   g_socket_set_option(socket, IPPROTO_TCP, TCP_NODELAY, 1, nullptr);
   g_socket_set_option(socket, IPPROTO_TCP, TCP_USER_TIMEOUT,
                       static_cast<gint>(milliseconds), nullptr);
@@ -62,14 +63,14 @@
 }
 
 StreamSocketPtr StreamSocket::Connect(const SocketAddress& address,
-                                      Duration silence,
+                                      Duration ack_timeout,
                                       StreamEvents events) {
   StreamSocketPtr made(new StreamSocket(MakeSocket(), std::move(events)));
   made->state = State::kConnecting;
   const auto to = MakeAddress(address);
   GError* raw = nullptr;
   if (made->socket && to) {
-    SetDelivery(made->socket.get(), silence);
+    SetDelivery(made->socket.get(), ack_timeout);
     if (g_socket_connect(made->socket.get(), to.get(), nullptr, &raw) ||
         g_error_matches(raw, G_IO_ERROR, G_IO_ERROR_PENDING)) {
       g_clear_error(&raw);
@@ -78,7 +79,8 @@
     }
   }
   g_clear_error(&raw);
-  // Told later, so that the owner has the connection in hand by then.
+  // Report the failure from the main loop, so that the owner holds the returned
+  // pointer when on_end is called.
   made->failure.reset(g_idle_source_new());
   g_source_set_callback(made->failure.get(), &StreamSocket::OnFailed,
                         made.get(), nullptr);
@@ -87,10 +89,10 @@
 }
 
 StreamSocketPtr StreamSocket::Adopt(ObjectPtr<GSocket> socket,
-                                    Duration silence,
+                                    Duration ack_timeout,
                                     StreamEvents events) {
   g_socket_set_blocking(socket.get(), FALSE);
-  SetDelivery(socket.get(), silence);
+  SetDelivery(socket.get(), ack_timeout);
   StreamSocketPtr made(new StreamSocket(std::move(socket), std::move(events)));
   made->WatchInput();
   return made;
@@ -165,7 +167,7 @@
     if (this->state == State::kClosing) {
       return;
     }
-    // A copy: the owner may replace its handlers from within one of them.
+    // Copied because the owner may replace the callbacks from within one.
     const auto call = this->events.on_bytes;
     call({block.data(), static_cast<size_t>(got)});
   } else if (got == 0) {
@@ -195,8 +197,8 @@
       if (IsError(error, G_IO_ERROR_WOULD_BLOCK)) {
         this->WatchOutput();
       } else {
-        // What the peer said before it reset may still be there to be read,
-        // and the input source reports the end after it.
+        // Data that the peer sent before the reset may still be readable; the
+        // input source reports the end of the connection after it.
         this->unsent.clear();
         this->output.reset();
         this->WatchInput();
@@ -259,9 +261,9 @@
 
 void StreamSocket::Reset() {
   if (this->socket && this->state != State::kOver) {
-    const linger at_once{.l_onoff = 1, .l_linger = 0};
+    const linger reset_on_close{.l_onoff = 1, .l_linger = 0};
     setsockopt(g_socket_get_fd(this->socket.get()), SOL_SOCKET, SO_LINGER,
-               &at_once, sizeof at_once);
+               &reset_on_close, sizeof reset_on_close);
   }
   this->Close();
 }
