--- a/bench/capacity_rig.cc
+++ b/bench/capacity_rig.cc
@@ -206,7 +206,7 @@
                 },
             .on_gone =
                 [this](const HostId& host) {
-                  this->dispatcher->OnHostGone(this->clock.Now(), host);
+                  this->dispatcher->OnHostLost(this->clock.Now(), host);
                 },
             .on_message = {}};
   }
@@ -337,9 +337,9 @@
     for (auto& entry : sum.served) {
       entry.cost -= entry.cost % kSummaryUnit;
     }
-    this->links->SendDigest(
-        this->distant ? DigestScope::kDataCentre : DigestScope::kElsewhere,
-        sum);
+    this->links->SendDigest(this->distant ? DigestScope::kDataCentre
+                                          : DigestScope::kOtherDataCentres,
+                            sum);
   }
 
   BootClock clock;
--- a/bench/gateway_bench.cc
+++ b/bench/gateway_bench.cc
@@ -42,7 +42,7 @@
 
 // Milliseconds from sending a call to the end of its answer, one at a time.
 std::vector<double> Latencies(Caller& caller,
-                              const HttpOutgoing& call,
+                              const HttpClientRequest& call,
                               int count) {
   std::vector<double> samples;
   for (int i = 0; i < count; ++i) {
@@ -91,7 +91,7 @@
 };
 
 Load Run(std::vector<std::unique_ptr<Caller>>& callers,
-         const HttpOutgoing& call,
+         const HttpClientRequest& call,
          int count) {
   Load load;
   const double start = Seconds();
@@ -112,12 +112,12 @@
                     const FakeEngine& engine,
                     const FakePlainService& service,
                     int requests) {
-  HttpOutgoing chat = bed.Chat("bench", true, 1);
-  HttpOutgoing lookup = bed.Outgoing("GET", "/services/filing/petitions");
+  HttpClientRequest chat = bed.Chat("bench", true, 1);
+  HttpClientRequest lookup = bed.Outgoing("GET", "/services/filing/petitions");
   chat.once = lookup.once = false;  // kept connections, as clients have
-  HttpOutgoing chat_direct = chat;
+  HttpClientRequest chat_direct = chat;
   chat_direct.address = engine.Address();
-  HttpOutgoing lookup_direct = lookup;
+  HttpClientRequest lookup_direct = lookup;
   lookup_direct.address = service.Address();
   lookup_direct.target = "/petitions";
   Latencies(bed.caller, chat, 50);  // warm up
@@ -140,12 +140,12 @@
   for (int i = 0; i < 4; ++i) {
     callers.push_back(std::make_unique<Caller>());
   }
-  HttpOutgoing lookup = bed.Outgoing("GET", "/services/filing/petitions");
-  HttpOutgoing chat = bed.Chat("bench", true, 50);
+  HttpClientRequest lookup = bed.Outgoing("GET", "/services/filing/petitions");
+  HttpClientRequest chat = bed.Chat("bench", true, 50);
   lookup.once = chat.once = false;
   struct Row {
     const char* what;
-    const HttpOutgoing& call;
+    const HttpClientRequest& call;
     int count;
     int tokens;
   };
@@ -181,7 +181,7 @@
   bed.caller.Send(bed.Chat("warm", true, 1));
   const double before = ResidentMegabytes();
   std::vector<std::future<CallerAnswer>> open;
-  const HttpOutgoing call = bed.Chat("hold", true, 1'000'000 / 32);
+  const HttpClientRequest call = bed.Chat("hold", true, 1'000'000 / 32);
   for (int i = 0; i < streams; ++i) {
     open.push_back(callers[i % kEngines]->Start(call));
   }
--- a/bench/limit_world.cc
+++ b/bench/limit_world.cc
@@ -5,7 +5,7 @@
 
 namespace hickorystand {
 
-bool CountingLimiter::Take(Instant now, const LimitAsk& ask, double heard) {
+bool CountingLimiter::Take(Instant now, const LimitRequest& ask, double heard) {
   Bucket& bucket = this->Count(now, ask.account, heard);
   const auto cost = static_cast<double>(ask.cost);
   if (bucket.tokens <
@@ -165,7 +165,7 @@
   host.limiter->SetPeers(this->now, this->Linked(number));
   host.limiter->SetShare(this->now, host.shares->Own(this->now),
                          host.shares->Each());
-  this->TellRevision(number);
+  this->SendRevision(number);
   if (this->options.counting) {
     const auto counts = host.counter->TakeCounts();
     for (const HostId& peer : this->Linked(number)) {
@@ -261,7 +261,7 @@
   }
 }
 
-void LimitWorld::TellRevision(int number) {
+void LimitWorld::SendRevision(int number) {
   Host& host = this->At(number);
   const int64_t revision = host.shares->Revision();
   const HostId id = host.id;
@@ -310,7 +310,7 @@
     if (waited.empty()) {
       continue;
     }
-    const LimitAsk& decided = waited.mapped();
+    const LimitRequest& decided = waited.mapped();
     if (verdict.granted) {
       this->Admit(decided.account, decided.cost);
     } else {
@@ -336,10 +336,10 @@
   }
   LimitTally& tally = this->tallies[account];
   ++tally.offered;
-  const LimitAsk ask{.number = ++this->last_ask,
-                     .account = account,
-                     .cost = cost,
-                     .priority = priority};
+  const LimitRequest ask{.number = ++this->last_ask,
+                         .account = account,
+                         .cost = cost,
+                         .priority = priority};
   if (this->options.counting) {
     const double heard = static_cast<double>(this->Linked(number).size() + 1) /
                          static_cast<double>(this->options.hosts);
--- a/bench/limit_world.h
+++ b/bench/limit_world.h
@@ -65,7 +65,7 @@
  public:
   explicit CountingLimiter(const AccountLimits& limits) : limits(limits) {}
 
-  bool Take(Instant now, const LimitAsk& ask, double heard);
+  bool Take(Instant now, const LimitRequest& ask, double heard);
   void OnCounts(Instant now, const std::map<AccountId, double>& admitted);
   std::map<AccountId, double> TakeCounts();
 
@@ -152,7 +152,7 @@
     std::unique_ptr<AccountLimiter> limiter;
     std::unique_ptr<CountingLimiter> counter;
     std::map<int, Instant> unheard_since;
-    std::map<int64_t, LimitAsk> waiting;
+    std::map<int64_t, LimitRequest> waiting;
     std::map<int, int64_t> told;
     std::vector<std::function<void()>> held_up;  // while frozen
   };
@@ -173,7 +173,7 @@
   void Send(int from,
             const HostId& to,
             const std::function<void(int)>& deliver);
-  void TellRevision(int host);
+  void SendRevision(int host);
   void Flush(int host);
   void Admit(const AccountId& account, int64_t cost);
   double Random() {
--- a/bench/policy_baselines.cc
+++ b/bench/policy_baselines.cc
@@ -78,7 +78,8 @@
                : this->Refuse(attempt.request, ErrorKind::kEndpointFailed);
   }
 
-  DispatchList OnCallerGone(Instant, const RequestId& request) override {
+  DispatchList OnCallerDisconnected(Instant,
+                                    const RequestId& request) override {
     DispatchList out;
     for (auto next = this->attempts.begin(); next != this->attempts.end();) {
       if (next->second.request != request) {
@@ -102,7 +103,7 @@
 
   void OnCache(Instant, const CacheEvent&) override {}
   DispatchList OnDigest(Instant, const Digest&) override { return {}; }
-  void OnHostGone(Instant, const HostId&) override {}
+  void OnHostLost(Instant, const HostId&) override {}
   DispatchList OnTick(Instant) override { return {}; }
   void StartDrain() override {}
   void FillDigest(Digest&) const override {}
@@ -324,7 +325,7 @@
   return kAblations;
 }
 
-std::vector<PlacementWish> ThresholdWishes(
+std::vector<PlacementProposal> ThresholdWishes(
     const std::vector<EndpointState>& endpoints) {
   constexpr double kBusy = 0.8;
   constexpr double kIdle = 0.5;
--- a/bench/policy_baselines.h
+++ b/bench/policy_baselines.h
@@ -35,7 +35,7 @@
 std::span<const Strategy> AllAblations();
 
 // Role changes by a plain threshold on how full the two halves are.
-std::vector<PlacementWish> ThresholdWishes(
+std::vector<PlacementProposal> ThresholdWishes(
     const std::vector<EndpointState>& endpoints);
 
 }  // namespace hickorystand
--- a/bench/policy_fleet.cc
+++ b/bench/policy_fleet.cc
@@ -246,8 +246,9 @@
       Caller& one = this->callers.at(id);
       if (!one.ended && one.first_token < 0) {
         one.ended = true;
-        this->Act(one.host, this->hosts[one.host].dispatcher->OnCallerGone(
-                                this->Now(), id));
+        this->Act(one.host,
+                  this->hosts[one.host].dispatcher->OnCallerDisconnected(
+                      this->Now(), id));
       }
     });
   }
@@ -487,13 +488,13 @@
   if (this->scenario.platform_down.Holds(this->now)) {
     return;
   }
-  std::vector<PlacementWish> wishes;
+  std::vector<PlacementProposal> wishes;
   if (this->strategy.roles == RolePolicy::kPlanner) {
-    wishes = this->planner.RoleWishes(this->Now(), this->States());
+    wishes = this->planner.ProposeRoleChanges(this->Now(), this->States());
   } else if (this->strategy.roles == RolePolicy::kThreshold) {
     wishes = ThresholdWishes(this->States());
   }
-  for (const PlacementWish& wish : wishes) {
+  for (const PlacementProposal& wish : wishes) {
     Node& node = this->nodes.at(wish.endpoint);
     this->role_changes += 1;
     node.changing = true;
@@ -508,8 +509,8 @@
   if (!this->strategy.scales || this->scenario.platform_down.Holds(this->now)) {
     return;
   }
-  const auto wish = this->planner.NextCapacityWish(this->Now(), this->States(),
-                                                   kFloor, kEngines);
+  const auto wish = this->planner.ProposeCapacityChange(
+      this->Now(), this->States(), kFloor, kEngines);
   if (!wish) {
     return;
   }
--- a/packages/ctl/configuration_files.cc
+++ b/packages/ctl/configuration_files.cc
@@ -307,8 +307,8 @@
         field.required ? "must be given"
                        : (field.fallback.empty() ? "nothing" : field.fallback);
     out << "| " << field.name << " | " << field.allowed << " | " << fallback
-        << " | " << (field.site_differs ? "yes" : "no") << " | " << field.help
-        << " |\n";
+        << " | " << (field.site_overridable ? "yes" : "no") << " | "
+        << field.help << " |\n";
   }
   out << "\n";
 }
--- a/packages/daemon/configuration_driver.cc
+++ b/packages/daemon/configuration_driver.cc
@@ -28,8 +28,8 @@
 
 ConfigurationDriver::ConfigurationDriver(const ReplicaOptions& options,
                                          const Clock& clock,
-                                         ConfigurationOutlets outlets)
-    : clock(clock), outlets(std::move(outlets)), replica(options) {
+                                         ConfigurationDependencies dependencies)
+    : clock(clock), dependencies(std::move(dependencies)), replica(options) {
   this->timer = Timer::Every(kTick, [this] {
     this->ended_watch.reset();
     this->Perform(this->replica.OnTick(this->clock.Now()));
@@ -94,14 +94,14 @@
 }
 
 void ConfigurationDriver::ReadHead(const ReplicaAction& /*action*/) {
-  this->outlets.store->Transact(
+  this->dependencies.store->Transact(
       {.then = {StoreGet(kHeadKey)}}, [this](const StoreReply& reply) {
         this->Perform(this->replica.OnHeadRead(this->clock.Now(), reply));
       });
 }
 
 void ConfigurationDriver::ReadAll(const ReplicaAction& /*action*/) {
-  this->outlets.store->Transact(
+  this->dependencies.store->Transact(
       ReadConfigurationTransaction(), [this](const StoreReply& reply) {
         this->Perform(this->replica.OnStateRead(this->clock.Now(), reply));
       });
@@ -109,7 +109,7 @@
 
 void ConfigurationDriver::Watch(const ReplicaAction& action) {
   this->ended_watch = std::move(this->watch);
-  this->watch = this->outlets.store->Watch(
+  this->watch = this->dependencies.store->Watch(
       kConfigurationPrefix, action.store_revision,
       [this](int64_t /*revision*/, const std::vector<StoreChange>& changes) {
         this->Perform(
@@ -127,12 +127,12 @@
 void ConfigurationDriver::Fetch(const ReplicaAction& action) {
   // A failed send needs no handling: the replica times out, as for a peer that
   // doesn't answer, and tries the next peer.
-  this->outlets.send(action.peer,
-                     BucketsRequest{.above_revision = action.above_revision});
+  this->dependencies.send(
+      action.peer, BucketsRequest{.above_revision = action.above_revision});
 }
 
 void ConfigurationDriver::InForce(const ReplicaAction& action) {
-  this->outlets.in_force(action.configuration);
+  this->dependencies.in_force(action.configuration);
 }
 
 }  // namespace hickorystand
--- a/packages/daemon/configuration_driver.h
+++ b/packages/daemon/configuration_driver.h
@@ -16,7 +16,7 @@
 namespace hickorystand {
 
 // The store and callbacks that the driver uses.
-struct ConfigurationOutlets {
+struct ConfigurationDependencies {
   KeyValueStore* store = nullptr;
   // Sends to a peer. Returns false if there is no link to it.
   std::function<bool(const HostId&, const PeerMessage&)> send;
@@ -29,7 +29,7 @@
  public:
   ConfigurationDriver(const ReplicaOptions& options,
                       const Clock& clock,
-                      ConfigurationOutlets outlets);
+                      ConfigurationDependencies dependencies);
 
   // The configuration in force; empty until the first one is received.
   ConfigurationPtr Current() const;
@@ -64,7 +64,7 @@
   void InForce(const ReplicaAction& action);
 
   const Clock& clock;
-  ConfigurationOutlets outlets;
+  ConfigurationDependencies dependencies;
   ConfigurationReplica replica;
   std::unique_ptr<StoreWatch> watch;
   std::unique_ptr<StoreWatch>
--- a/packages/daemon/control.cc
+++ b/packages/daemon/control.cc
@@ -12,15 +12,15 @@
 namespace {
 
 constexpr std::string_view kPart = "control";
-constexpr Duration kUsageShareEvery = std::chrono::seconds(1);
-constexpr Duration kHostListEvery = std::chrono::seconds(5);
-constexpr Duration kKeyCheckEvery = std::chrono::seconds(1);
-constexpr Duration kMetricsEvery = std::chrono::seconds(1);
+constexpr Duration kUsageCopyInterval = std::chrono::seconds(1);
+constexpr Duration kHostListInterval = std::chrono::seconds(5);
+constexpr Duration kKeyCheckInterval = std::chrono::seconds(1);
+constexpr Duration kMetricsInterval = std::chrono::seconds(1);
 // Upper bound on the rate of token requests, which are numbered.
-constexpr uint64_t kTokenWantsPerMillisecond = 1000;
+constexpr uint64_t kMaxTokenRequestsPerMillisecond = 1000;
 constexpr const char* kShareHoldersKey = "/hickorystand/limits";
-constexpr Duration kReleaseCheckEvery = std::chrono::milliseconds(50);
-constexpr Duration kClaimsSettleWithin = std::chrono::seconds(5);
+constexpr Duration kReleaseCheckInterval = std::chrono::milliseconds(50);
+constexpr Duration kClaimsSettleTimeout = std::chrono::seconds(5);
 
 PeerGroupOptions MakePeerOptions(const HostSettings& settings,
                                  uint64_t incarnation,
@@ -108,21 +108,22 @@
               }});
   this->coordinator = std::make_unique<CoordinatorDriver>(
       MakeCoordinatorOptions(settings, incarnation), clock,
-      CoordinatorOutlets{.store = this->store.get(),
-                         .platform = this->platform.get(),
-                         .endpoints = this->orders.get(),
-                         .tell_released = [this](const Release& release) {
-                           this->TellReleased(release);
-                         }});
+      CoordinatorDependencies{
+          .store = this->store.get(),
+          .platform = this->platform.get(),
+          .endpoints = this->orders.get(),
+          .broadcast_release = [this](const Release& release) {
+            this->SendReleaseNotice(release);
+          }});
   this->claims = std::make_unique<ClaimDriver>(
       ClaimOptions{.host = settings.host, .incarnation = incarnation}, clock,
       *this->store, [this](const RequestId& request, ClaimResult result) {
-        this->AnswerClaimOf(request, result);
+        this->CompleteClaim(request, result);
       });
   this->configuration = std::make_unique<ConfigurationDriver>(
       ReplicaOptions{.data_centre = settings.data_centre, .seed = incarnation},
       clock,
-      ConfigurationOutlets{
+      ConfigurationDependencies{
           .store = this->store.get(),
           .send =
               [this](const HostId& host, const PeerMessage& message) {
@@ -138,11 +139,11 @@
 void Control::MakeLimits(Metrics& metrics) {
   LimitGateOptions options{.self = this->settings.host};
   options.shares.key = kShareHoldersKey;
-  options.shares.names_listed = true;
+  options.shares.seed_listed_hosts = true;
   // The incarnation is a wall clock time in milliseconds, so numbering starts
   // above the numbers used by earlier processes of this host.
   options.limits.first_number =
-      static_cast<int64_t>(this->incarnation * kTokenWantsPerMillisecond);
+      static_cast<int64_t>(this->incarnation * kMaxTokenRequestsPerMillisecond);
   this->limits = std::make_unique<LimitGate>(
       options, this->clock, *this->store, metrics,
       LimitGateHandlers{
@@ -192,24 +193,24 @@
   if (!address) {
     return address;
   }
-  this->AskForHostList();
+  this->RequestHostList();
   this->ScheduleDigest();
   this->limits->Start();
   this->timers.push_back(
-      Timer::Every(kHostListEvery, [this] { this->AskForHostList(); }));
+      Timer::Every(kHostListInterval, [this] { this->RequestHostList(); }));
   this->timers.push_back(
-      Timer::Every(kUsageShareEvery, [this] { this->ShareUsage(); }));
+      Timer::Every(kUsageCopyInterval, [this] { this->SendUsageCopy(); }));
   this->timers.push_back(
-      Timer::Every(kKeyCheckEvery, [this] { this->CheckKeys(); }));
+      Timer::Every(kKeyCheckInterval, [this] { this->CheckKeys(); }));
   this->timers.push_back(
-      Timer::Every(kMetricsEvery, [this] { this->limits->SetMetrics(); }));
+      Timer::Every(kMetricsInterval, [this] { this->limits->SetMetrics(); }));
   return address;
 }
 
 void Control::ScheduleDigest() {
   this->configuration->SetWatching(this->peers->HoldsWatches());
   this->digest_timer = Timer::After(this->peers->NextDigestDelay(), [this] {
-    this->events.want_view();
+    this->events.request_view();
     this->ScheduleDigest();
   });
 }
@@ -244,43 +245,43 @@
 
 void Control::Claim(const ClaimRequest& request,
                     std::function<void(ClaimResult)> done) {
-  this->claiming[request.request] = std::move(done);
+  this->pending_claims[request.request] = std::move(done);
   this->claims->Claim(request);
 }
 
-void Control::AnswerClaimOf(const RequestId& request, ClaimResult result) {
-  const auto found = this->claiming.find(request);
-  if (found == this->claiming.end()) {
+void Control::CompleteClaim(const RequestId& request, ClaimResult result) {
+  const auto found = this->pending_claims.find(request);
+  if (found == this->pending_claims.end()) {
     return;
   }
   const auto done = std::move(found->second);
-  this->claiming.erase(found);
+  this->pending_claims.erase(found);
   done(result);
 }
 
 void Control::TakeTokens(
     const RequestId& request,
-    LimitAsk ask,
+    LimitRequest ask,
     const std::function<void(const LimitDecision&)>& done) {
-  this->token_asks[request] = 0;  // Take() may call back at once
+  this->pending_token_requests[request] = 0;  // Take() may call back at once
   const auto verdict = this->limits->Take(
       ask, [this, request, done](const LimitVerdict& decided) {
-        this->token_asks.erase(request);
+        this->pending_token_requests.erase(request);
         done(this->DecisionOf(decided));
       });
   if (verdict) {
-    this->token_asks.erase(request);
+    this->pending_token_requests.erase(request);
     done(this->DecisionOf(*verdict));
     return;
   }
-  const auto waiting = this->token_asks.find(request);
-  if (waiting != this->token_asks.end()) {
+  const auto waiting = this->pending_token_requests.find(request);
+  if (waiting != this->pending_token_requests.end()) {
     waiting->second = ask.number;
   }
 }
 
 void Control::CancelTokens(const RequestId& request) {
-  const auto asked = this->token_asks.extract(request);
+  const auto asked = this->pending_token_requests.extract(request);
   if (!asked.empty()) {
     this->limits->Cancel(asked.mapped());
   }
@@ -345,7 +346,7 @@
   }
 }
 
-void Control::AskForHostList() {
+void Control::RequestHostList() {
   this->platform->ListHosts(
       [this](const Result<std::vector<PlatformHost>>& list) {
         if (list) {
@@ -370,7 +371,7 @@
   this->coordinator->OnHosts(here);
 }
 
-void Control::TellReleased(const Release& release) {
+void Control::SendReleaseNotice(const Release& release) {
   this->peers->Broadcast(Released{.data_centre = this->settings.data_centre,
                                   .incarnation = release.incarnation,
                                   .fencing = release.fencing});
@@ -380,13 +381,13 @@
 // every second to the lease holder and to its deputy, which may become the next
 // holder. Only changed counters are sent; they are cumulative, and the receiver
 // keeps the higher value. New receivers get all of them.
-void Control::ShareUsage() {
+void Control::SendUsageCopy() {
   this->coordinator->OnUsage(this->usage.Copy());
-  const std::set<HostId> receivers = this->UsageKeepers();
-  const bool send_all = receivers != this->shared_with;
+  const std::set<HostId> receivers = this->UsageCopyReceivers();
+  const bool send_all = receivers != this->copied_to;
   const AccountUsage& counts = this->usage.Copy().counts;
   const AccountUsage changed =
-      send_all ? counts : Changed(this->shared_usage, counts);
+      send_all ? counts : Changed(this->copied_usage, counts);
   if (changed.empty()) {
     return;
   }
@@ -399,12 +400,12 @@
     return this->peers->Send(host, message);
   });
   if (all_sent) {
-    this->shared_usage = counts;
-    this->shared_with = receivers;
+    this->copied_usage = counts;
+    this->copied_to = receivers;
   }
 }
 
-std::set<HostId> Control::UsageKeepers() const {
+std::set<HostId> Control::UsageCopyReceivers() const {
   const HostId holder(this->coordinator->State().Authority().LastHolder());
   std::set<HostId> receivers{holder, this->peers->Deputy(holder)};
   receivers.erase(HostId());
@@ -420,7 +421,7 @@
     LogWarning(kPart, trusted ? "Keys are trusted again."
                               : "Disconnected for too long; keys are refused.");
     this->keys_trusted = trusted;
-    this->events.trust_keys(trusted);
+    this->events.on_keys_trusted(trusted);
   }
 }
 
@@ -432,12 +433,12 @@
 // Waits for pending claims: the claim of a request that was refused as not run
 // must be withdrawn, or the caller's retry would be refused as a duplicate.
 void Control::HandOver(std::function<void()> on_released) {
-  this->ShareUsage();
+  this->SendUsageCopy();
   this->limits->Stop();
   this->coordinator->StartRelease();
-  const Instant claims_until = this->clock.Now() + kClaimsSettleWithin;
+  const Instant claims_until = this->clock.Now() + kClaimsSettleTimeout;
   this->release_timer =
-      Timer::Every(kReleaseCheckEvery,
+      Timer::Every(kReleaseCheckInterval,
                    [this, claims_until, on_released = std::move(on_released)] {
                      const bool claims_open = !this->claims->Settled() &&
                                               this->clock.Now() < claims_until;
--- a/packages/daemon/control.h
+++ b/packages/daemon/control.h
@@ -41,9 +41,9 @@
   std::function<void(ConfigurationPtr)> on_configuration;
   std::function<void(const Digest&)> on_digest;
   std::function<void(const HostId&)> on_host_gone;
-  std::function<void(bool)> trust_keys;
+  std::function<void(bool)> on_keys_trusted;
   // Requests a digest; answered with Control::OnServingView().
-  std::function<void()> want_view;
+  std::function<void()> request_view;
 };
 
 // State of the serving task, which the control task sends to other hosts and
@@ -89,7 +89,7 @@
   // Takes a request's tokens from its account's limit. `done` is called on this
   // task, possibly before the return, unless the request is cancelled first.
   void TakeTokens(const RequestId& request,
-                  LimitAsk ask,
+                  LimitRequest ask,
                   const std::function<void(const LimitDecision&)>& done);
   void CancelTokens(const RequestId& request);
   void GiveBackTokens(const AccountId& account, LimitUnit unit, int64_t cost) {
@@ -114,12 +114,12 @@
   void OnPeerGone(const HostId& host);
   void OnHostList(const std::vector<PlatformHost>& list);
   void ScheduleDigest();
-  void AnswerClaimOf(const RequestId& request, ClaimResult result);
-  void AskForHostList();
-  void TellReleased(const Release& release);
-  void ShareUsage();
+  void CompleteClaim(const RequestId& request, ClaimResult result);
+  void RequestHostList();
+  void SendReleaseNotice(const Release& release);
+  void SendUsageCopy();
   void CheckKeys();
-  std::set<HostId> UsageKeepers() const;
+  std::set<HostId> UsageCopyReceivers() const;
   void MakeLimits(Metrics& metrics);
   std::vector<HostId> LinkedHosts() const;
   LimitDecision DecisionOf(const LimitVerdict& verdict) const;
@@ -135,13 +135,13 @@
   std::unique_ptr<ConfigurationDriver> configuration;
   std::unique_ptr<CoordinatorDriver> coordinator;
   std::unique_ptr<ClaimDriver> claims;
-  std::map<RequestId, std::function<void(ClaimResult)>> claiming;
+  std::map<RequestId, std::function<void(ClaimResult)>> pending_claims;
   std::unique_ptr<LimitGate> limits;
   std::map<RequestId, int64_t>
-      token_asks;  // by request: number of the pending ask
+      pending_token_requests;  // by request: number of the pending ask
   UsageMeter usage;
-  AccountUsage shared_usage;  // as last sent
-  std::set<HostId> shared_with;
+  AccountUsage copied_usage;  // as last sent
+  std::set<HostId> copied_to;
   std::map<EndpointId, LoadReport> loads;
   ServingView view;
   bool draining = false;
--- a/packages/daemon/coordinator_driver.cc
+++ b/packages/daemon/coordinator_driver.cc
@@ -33,7 +33,7 @@
 }
 
 // Converts the platform's answer to an order.
-OrderReply JudgeOrder(PlatformOutcome outcome) {
+OrderReply PlatformOrderReply(PlatformOutcome outcome) {
   switch (outcome) {
     case PlatformOutcome::kAccepted:
       return OrderReply::kDone;
@@ -50,7 +50,7 @@
 // Converts the platform's answer to a usage report. A refused report counts as
 // unanswered and is sent again: its figures are final, and dropping them would
 // leave the account unbilled.
-ReportReply JudgeReport(PlatformOutcome outcome) {
+ReportReply PlatformReportReply(PlatformOutcome outcome) {
   switch (outcome) {
     case PlatformOutcome::kAccepted:
       return ReportReply::kAccepted;
@@ -75,17 +75,17 @@
   ClaimActions actions;
   this->book.Claim(this->clock.Now(), request, actions);
   this->Perform(actions);
-  this->KeepTicking();
+  this->UpdateTimer();
 }
 
 void ClaimDriver::Withdraw(const RequestId& request) {
   ClaimActions actions;
   this->book.Withdraw(this->clock.Now(), request, actions);
   this->Perform(actions);
-  this->KeepTicking();
+  this->UpdateTimer();
 }
 
-void ClaimDriver::KeepTicking() {
+void ClaimDriver::UpdateTimer() {
   if (!this->book.Busy()) {
     this->timer.reset();
     return;
@@ -97,7 +97,7 @@
     ClaimActions actions;
     this->book.OnTick(this->clock.Now(), actions);
     this->Perform(actions);
-    this->KeepTicking();
+    this->UpdateTimer();
   });
 }
 
@@ -131,11 +131,11 @@
 
 CoordinatorDriver::CoordinatorDriver(const CoordinatorOptions& options,
                                      const Clock& clock,
-                                     CoordinatorOutlets outlets)
+                                     CoordinatorDependencies dependencies)
     : coordinator(options),
       data_centre(options.lease.data_centre),
       clock(clock),
-      outlets(std::move(outlets)) {
+      dependencies(std::move(dependencies)) {
   this->timer = Timer::Every(kCoordinatorTick, [this] {
     CoordinatorActions actions;
     this->coordinator.OnTick(this->clock.Now(), actions);
@@ -198,7 +198,7 @@
 }
 
 void CoordinatorDriver::Do(const RunTransaction& action) {
-  this->outlets.store->Transact(
+  this->dependencies.store->Transact(
       action.transaction, [this, tag = action.tag](const StoreReply& reply) {
         CoordinatorActions next;
         this->coordinator.OnStoreReply(this->clock.Now(), tag, reply, next);
@@ -207,7 +207,7 @@
 }
 
 void CoordinatorDriver::Do(const GrantLease& action) {
-  this->outlets.store->GrantLease(
+  this->dependencies.store->GrantLease(
       action.length, [this, tag = action.tag](const Result<int64_t>& lease) {
         CoordinatorActions next;
         this->coordinator.OnLeaseGranted(this->clock.Now(), tag, lease, next);
@@ -216,7 +216,7 @@
 }
 
 void CoordinatorDriver::Do(const RenewLease& action) {
-  this->outlets.store->RenewLease(
+  this->dependencies.store->RenewLease(
       action.lease, [this, tag = action.tag](const Result<Duration>& left) {
         CoordinatorActions next;
         this->coordinator.OnLeaseRenewed(this->clock.Now(), tag, left, next);
@@ -225,7 +225,8 @@
 }
 
 void CoordinatorDriver::Do(const RevokeLease& action) {
-  this->outlets.store->RevokeLease(action.lease, [](const Result<int64_t>&) {});
+  this->dependencies.store->RevokeLease(action.lease,
+                                        [](const Result<int64_t>&) {});
 }
 
 // A process may be suspended between the decision to send and the send. This
@@ -237,7 +238,8 @@
   };
 }
 
-void CoordinatorDriver::Replied(const OrderId& order, OrderReply reply) {
+void CoordinatorDriver::HandleOrderReply(const OrderId& order,
+                                         OrderReply reply) {
   CoordinatorActions next;
   this->coordinator.OnOrderReply(this->clock.Now(), order, reply, next);
   this->Perform(next);
@@ -247,7 +249,7 @@
   const Order& order = action.order;
   const auto found = this->configuration->endpoints.find(order.endpoint);
   if (found == this->configuration->endpoints.end()) {
-    this->Replied(order.id, OrderReply::kNotSent);
+    this->HandleOrderReply(order.id, OrderReply::kNotSent);
     return;
   }
   LogInfo(kPart, "Order sent.",
@@ -256,7 +258,7 @@
            {"kind", std::string(OrderKindName(order.kind))},
            {"argument", order.argument},
            {"fencing", std::to_string(action.fencing)}});
-  this->outlets.endpoints->Send(
+  this->dependencies.endpoints->Send(
       found->second.address,
       {.id = order.id.Text(),
        .fencing = action.fencing,
@@ -264,7 +266,7 @@
        .argument = order.argument},
       this->MaySend(action.fencing),
       [this, id = order.id](const OrderAnswer& answer) {
-        this->Replied(id, OutcomeOf(answer.state));
+        this->HandleOrderReply(id, OutcomeOf(answer.state));
       });
 }
 
@@ -276,27 +278,27 @@
            {"change", std::to_string(order.change)},
            {"endpoint", order.endpoint.Text()},
            {"fencing", std::to_string(action.fencing)}});
-  this->outlets.platform->OrderEndpoints(
+  this->dependencies.platform->OrderEndpoints(
       this->data_centre, order, action.fencing, this->MaySend(action.fencing),
       [this, id = order.id](PlatformOutcome outcome) {
-        this->Replied(id, JudgeOrder(outcome));
+        this->HandleOrderReply(id, PlatformOrderReply(outcome));
       });
 }
 
 void CoordinatorDriver::Do(const SendUsageReport& action) {
-  this->outlets.platform->ReportUsage(
+  this->dependencies.platform->ReportUsage(
       this->data_centre, action.window, action.fencing, action.figures,
       this->MaySend(action.fencing),
       [this, window = action.window](PlatformOutcome outcome) {
         CoordinatorActions next;
         this->coordinator.OnReportReply(this->clock.Now(), window,
-                                        JudgeReport(outcome), next);
+                                        PlatformReportReply(outcome), next);
         this->Perform(next);
       });
 }
 
-void CoordinatorDriver::Do(const TellReleased& action) {
-  this->outlets.tell_released(action.release);
+void CoordinatorDriver::Do(const SendReleaseNotice& action) {
+  this->dependencies.broadcast_release(action.release);
 }
 
 }  // namespace hickorystand
--- a/packages/daemon/coordinator_driver.h
+++ b/packages/daemon/coordinator_driver.h
@@ -50,9 +50,9 @@
   void Do(const RunTransaction& action);
   void Do(const GrantLease& action);
   void Do(const AnswerClaim& action);
-  void KeepTicking();
+  void UpdateTimer();
 
-  ClaimBook book;
+  ClaimManager book;
   const Clock& clock;
   KeyValueStore& store;
   Answer answer;
@@ -60,11 +60,11 @@
 };
 
 // Clients and callbacks that a coordinator's actions need.
-struct CoordinatorOutlets {
+struct CoordinatorDependencies {
   KeyValueStore* store = nullptr;
   PlatformClient* platform = nullptr;
   OrderClient* endpoints = nullptr;
-  std::function<void(const Release&)> tell_released;
+  std::function<void(const Release&)> broadcast_release;
 };
 
 // Runs one host's coordinator.
@@ -72,7 +72,7 @@
  public:
   CoordinatorDriver(const CoordinatorOptions& options,
                     const Clock& clock,
-                    CoordinatorOutlets outlets);
+                    CoordinatorDependencies dependencies);
 
   // Proposes an order. Returns its id, or why it can't be accepted.
   Result<OrderId> Propose(const OrderRequest& request);
@@ -102,14 +102,14 @@
   void Do(const SendOrder& action);
   void Do(const SendEndpointOrder& action);
   void Do(const SendUsageReport& action);
-  void Do(const TellReleased& action);
-  void Replied(const OrderId& order, OrderReply reply);
+  void Do(const SendReleaseNotice& action);
+  void HandleOrderReply(const OrderId& order, OrderReply reply);
   std::function<bool()> MaySend(int64_t fencing) const;
 
   Coordinator coordinator;
   DataCentreId data_centre;
   const Clock& clock;
-  CoordinatorOutlets outlets;
+  CoordinatorDependencies dependencies;
   ConfigurationPtr configuration = std::make_shared<Configuration>();
   std::unique_ptr<Timer> timer;
 };
--- a/packages/daemon/host_daemon.cc
+++ b/packages/daemon/host_daemon.cc
@@ -12,7 +12,7 @@
 constexpr std::string_view kPart = "host";
 
 // How long to wait for callers to read the errors of ended requests.
-constexpr Duration kFinalAnswersWithin = std::chrono::seconds(1);
+constexpr Duration kFinalResponsesTimeout = std::chrono::seconds(1);
 
 GatewayOptions MakeGatewayOptions(const HostSettings& settings, uint64_t seed) {
   GatewayOptions options;
@@ -86,9 +86,9 @@
   this->control_task.Call([&] {
     this->control =
         std::make_unique<Control>(this->settings, incarnation, this->clock,
-                                  this->metrics, this->EventsForServing());
+                                  this->metrics, this->MakeControlEvents());
     this->admin = std::make_unique<AdminServer>(this->settings.admin,
-                                                this->HandlersForOperators());
+                                                this->MakeAdminHandlers());
     const auto for_admin = this->admin->Start();
     const auto for_peers = this->control->Start();
     if (!for_admin || !for_peers) {
@@ -107,7 +107,7 @@
     const auto seed = static_cast<uint64_t>(this->clock.WallMilliseconds());
     this->gateway = std::make_unique<Gateway>(
         MakeGatewayOptions(this->settings, seed), this->clock, this->metrics);
-    this->gateway->SetHooks(this->HooksForGateway());
+    this->gateway->SetHooks(this->MakeRequestHooks());
     this->gateway->SetOnLoad([this](const LoadReport& report) {
       this->control_task.Post(
           [this, report] { this->control->OnLoad(report); });
@@ -128,7 +128,7 @@
   return result;
 }
 
-ControlEvents HostDaemon::EventsForServing() {
+ControlEvents HostDaemon::MakeControlEvents() {
   const auto post = [this](const auto& call) {
     this->serving_task.Post([this, call] {
       if (this->gateway) {
@@ -147,14 +147,14 @@
           },
       .on_host_gone =
           [post](const HostId& host) {
-            post([host](Gateway& gate) { gate.OnHostGone(host); });
+            post([host](Gateway& gate) { gate.OnHostLost(host); });
           },
-      .trust_keys =
+      .on_keys_trusted =
           [post](bool trusted) {
-            post([trusted](Gateway& gate) { gate.TrustKeys(trusted); });
+            post([trusted](Gateway& gate) { gate.SetKeysTrusted(trusted); });
           },
-      .want_view = [this,
-                    post] { post([this](Gateway&) { this->SendView(); }); },
+      .request_view = [this,
+                       post] { post([this](Gateway&) { this->SendView(); }); },
   };
 }
 
@@ -167,7 +167,7 @@
   this->control_task.Post([this, view] { this->control->OnServingView(view); });
 }
 
-RequestHooks HostDaemon::HooksForGateway() {
+RequestHooks HostDaemon::MakeRequestHooks() {
   RequestHooks hooks;
   hooks.claim = [this](const ClaimRequest& request,
                        std::function<void(ClaimResult)> done) {
@@ -202,7 +202,7 @@
     this->control_task.Post(
         [this, request] { this->control->WithdrawClaim(request); });
   };
-  hooks.take_tokens = [this](const RequestId& request, const LimitAsk& ask,
+  hooks.take_tokens = [this](const RequestId& request, const LimitRequest& ask,
                              std::function<void(const LimitDecision&)> done) {
     this->control_task.Post([this, request, ask, done = std::move(done)] {
       this->control->TakeTokens(
@@ -215,8 +215,8 @@
     this->control_task.Post(
         [this, request] { this->control->CancelTokens(request); });
   };
-  hooks.give_back_tokens = [this](const AccountId& account, LimitUnit unit,
-                                  int64_t cost) {
+  hooks.return_tokens = [this](const AccountId& account, LimitUnit unit,
+                               int64_t cost) {
     this->control_task.Post([this, account, unit, cost] {
       this->control->GiveBackTokens(account, unit, cost);
     });
@@ -232,7 +232,7 @@
   return hooks;
 }
 
-AdminHandlers HostDaemon::HandlersForOperators() {
+AdminHandlers HostDaemon::MakeAdminHandlers() {
   return {
       .status =
           [this](const AdminHandlers::Answer& answer) {
@@ -292,7 +292,7 @@
         [this] { this->control_task.Post([this] { this->Finish(); }); });
   });
   this->answer_timer =
-      Timer::After(kFinalAnswersWithin, [this] { this->Finish(); });
+      Timer::After(kFinalResponsesTimeout, [this] { this->Finish(); });
 }
 
 void HostDaemon::Finish() {
@@ -318,7 +318,7 @@
       answered->set_value();
     }
   });
-  answered->get_future().wait_for(kFinalAnswersWithin);
+  answered->get_future().wait_for(kFinalResponsesTimeout);
   // Each part is destroyed on its own task. Work that the other task still
   // posts to a stopped task is dropped.
   this->serving_task.Post([this] { this->gateway.reset(); });
--- a/packages/daemon/host_daemon.h
+++ b/packages/daemon/host_daemon.h
@@ -64,9 +64,9 @@
   void MakeGateway();
   Result<void> StartControl();
   Result<void> OpenGateway();
-  ControlEvents EventsForServing();
-  RequestHooks HooksForGateway();
-  AdminHandlers HandlersForOperators();
+  ControlEvents MakeControlEvents();
+  RequestHooks MakeRequestHooks();
+  AdminHandlers MakeAdminHandlers();
   void SendView();
   void AnnounceLeaving();
   void FinishRequests();
--- a/packages/daemon/host_settings.cc
+++ b/packages/daemon/host_settings.cc
@@ -248,7 +248,7 @@
 }
 
 // Checks rules that concern two settings. Returns the error text, or nothing.
-std::string CheckTogether(const HostSettings& host) {
+std::string CheckRelatedSettings(const HostSettings& host) {
   if (host.gateway.certificate_file.empty() != host.gateway.key_file.empty()) {
     return "[gateway] tls_certificate_file and tls_key_file must be set "
            "together";
@@ -295,7 +295,7 @@
       .platform = MakePlatformSettings(*settings),
       .log_json = settings->Text("log", "format") == "json"};
   ParseLogLevel(settings->Text("log", "level"), host.log_level);
-  if (const std::string fault = CheckTogether(host); !fault.empty()) {
+  if (const std::string fault = CheckRelatedSettings(host); !fault.empty()) {
     return Fail(ErrorKind::kBadSetting, path + ": " + fault);
   }
   return host;
--- a/packages/daemon/program/main.cc
+++ b/packages/daemon/program/main.cc
@@ -93,7 +93,7 @@
 
 // Polling interval of the settings file. It may change without a SIGHUP, and
 // not every file system reports changes.
-constexpr guint kLookSeconds = 2;
+constexpr guint kSettingsPollSeconds = 2;
 
 // State shared by the reload handlers of a relay host.
 struct RelaySignals {
@@ -121,7 +121,7 @@
   return G_SOURCE_CONTINUE;
 }
 
-gboolean OnRelayLook(gpointer data) {
+gboolean OnRelaySettingsPoll(gpointer data) {
   auto* signals = static_cast<RelaySignals*>(data);
   const std::string text = TextOf(signals->path);
   // An empty file is in the middle of being written.
@@ -160,7 +160,7 @@
            {"zone", settings->zone.Text()},
            {"version", HICKORYSTAND_VERSION}});
   RelaySignals signals{.host = &host, .path = path, .text = TextOf(path)};
-  g_timeout_add_seconds(kLookSeconds, &OnRelayLook, &signals);
+  g_timeout_add_seconds(kSettingsPollSeconds, &OnRelaySettingsPoll, &signals);
   g_unix_signal_add(SIGHUP, &OnRelayReload, &signals);
   g_main_loop_run(loop);
   g_main_loop_unref(loop);
@@ -192,7 +192,7 @@
     std::cerr << "hickorystandd: --config FILE is missing; see --help\n";
     return AnswerFor(ErrorKind::kBadSetting).exit_code;
   }
-  if (IsRelayFile(path)) {
+  if (IsRelaySettingsFile(path)) {
     return RunRelay(path, arguments.count("check") > 0);
   }
   auto settings = LoadHostSettings(path);
--- a/packages/daemon/relay_daemon.cc
+++ b/packages/daemon/relay_daemon.cc
@@ -19,17 +19,17 @@
 constexpr Duration kUsagePeriod = std::chrono::milliseconds(500);
 
 // Smallest change of an estimated rate that is logged, as a natural logarithm.
-constexpr double kPaceChange = 0.22;
+constexpr double kLoggedPaceChange = 0.22;
 
 // Number of hosts queried at a time for proof of the configuration.
-constexpr size_t kPeersAsked = 2;
+constexpr size_t kPeersQueried = 2;
 
 // Number of hosts, the first by id, that report a leaving endpoint to all other
 // schedulers. There are several in case one of them is partitioned.
-constexpr size_t kTellers = 3;
+constexpr size_t kLeavingReporters = 3;
 
 // Interval at which a scheduler checks whether its broadcast state has changed.
-constexpr Duration kNewsPeriod = std::chrono::milliseconds(250);
+constexpr Duration kStatusPeriod = std::chrono::milliseconds(250);
 
 // A host reports itself busy when its average timer delay, in seconds, exceeds
 // the first value, until it falls below the second.
@@ -42,7 +42,7 @@
 
 // Time after the end of the stop schedule to transmit the final answers that it
 // causes.
-constexpr Duration kLastAnswers = std::chrono::milliseconds(100);
+constexpr Duration kFinalAnswerTime = std::chrono::milliseconds(100);
 
 // Creates the plug-in with the given name.
 template <typename Interface, typename... Arguments>
@@ -111,15 +111,15 @@
   this->relay = std::make_unique<FleetRelay>(
       this->settings.relay, *this->clock, *this->codec, this->metrics,
       RelayHooks{.on_begun = [this](const AccountId& account) {
-        this->duties->Usage().OnBegun(this->duties->UnixMilliseconds(),
-                                      account);
+        this->duties->Usage().OnRequestStarted(this->duties->UnixMilliseconds(),
+                                               account);
       }});
   this->MakeSource();
   this->MakeDuties();
   this->MakeForwarding();
   this->MakeLimits();
   this->MakePeers();
-  this->relay->SetForward(
+  this->relay->SetCallerHandler(
       [this](const CallerExchangePtr& caller) { this->OnCaller(caller); });
   this->relay->Caches().SetHandlers(
       {.subscribes =
@@ -144,7 +144,7 @@
     return opened;
   }
   this->usage_timer = Timer::Every(kUsagePeriod, [this] {
-    this->TellUsage();
+    this->BroadcastUsage();
     this->LogPace();
   });
   this->peers->Start();
@@ -159,19 +159,20 @@
               [this](FleetConfigurationPtr read) {
                 this->forwarder->NoteAppliedVersion(read->version);
                 this->relay->SetConfiguration(std::move(read));
-                this->TellNews();
+                this->BroadcastStatus();
               },
           .on_endpoints =
               [this](const FleetEndpoints& listed) {
                 this->relay->SetEndpoints(listed);
               },
-          .on_fresh = [this](Instant at) { this->relay->ProveFresh(at); },
+          .on_freshness_proof =
+              [this](Instant at) { this->relay->ConfirmConfiguration(at); },
           .ask_peers =
               [this](const FreshnessQuestion& question) {
                 this->AskPeers(question);
               },
           .on_leaving =
-              [this](const EndpointRun& run) { this->TellLeaving(run); }});
+              [this](const EndpointRun& run) { this->BroadcastLeaving(run); }});
 }
 
 void RelayDaemon::MakeForwarding() {
@@ -224,26 +225,26 @@
       this->MakeDuties();
       this->duties_retired = false;
     }
-    this->FollowCaches();
+    this->UpdateSubscribers();
     this->relay->RequireRefresh();
     this->source->Start();
     this->limits->Start();
     this->duties->Start();
-    this->news_due = this->clock->Now() + kNewsPeriod;
-    this->news_timer = Timer::Every(kNewsPeriod, [this] {
+    this->status_due = this->clock->Now() + kStatusPeriod;
+    this->status_timer = Timer::Every(kStatusPeriod, [this] {
       this->MeasureLag();
-      this->TellNews();
+      this->BroadcastStatus();
     });
-    this->TellNews();
+    this->BroadcastStatus();
     return;
   }
-  this->news_timer.reset();
-  this->TellNews();
+  this->status_timer.reset();
+  this->BroadcastStatus();
   this->source->Stop();
   this->limits->Stop();
   this->duties->Retire();
   this->duties_retired = true;
-  this->FollowCaches();
+  this->UpdateSubscribers();
   this->relay->RequireRefresh();
 }
 
@@ -281,14 +282,14 @@
           .idle_timeout = limits.idle_timeout,
           .draining = this->stop.has_value(),
           .last_resort = this->relay->Ready() && this->stop &&
-                         this->clock->Now() < this->stop->takes_until};
+                         this->clock->Now() < this->stop->accept_until};
 }
 
 // The delay of timers indicates whether the main loop is overloaded.
 void RelayDaemon::MeasureLag() {
   const Instant now = this->clock->Now();
-  const double late = std::max(ToSeconds(now - this->news_due), 0.0);
-  this->news_due = now + kNewsPeriod;
+  const double late = std::max(ToSeconds(now - this->status_due), 0.0);
+  this->status_due = now + kStatusPeriod;
   this->lag += kLagWeight * (late - this->lag);
   const bool was_busy = this->busy;
   this->busy = this->lag > (was_busy ? kNoLongerBusyLag : kBusyLag);
@@ -299,10 +300,10 @@
   }
 }
 
-void RelayDaemon::TellNews() {
+void RelayDaemon::BroadcastStatus() {
   const SchedulerNews news = this->News();
-  if (news != this->told_news) {
-    this->told_news = news;
+  if (news != this->sent_status) {
+    this->sent_status = news;
     this->peers->Broadcast(news);
   }
 }
@@ -330,13 +331,13 @@
 
 // Divides the subscriptions to engines' cache events among the linked
 // schedulers.
-void RelayDaemon::FollowCaches() {
+void RelayDaemon::UpdateSubscribers() {
   this->subscribers.clear();
   if (this->IsScheduler()) {
     this->subscribers = this->peers->LinkedSchedulers();
     this->subscribers.push_back(this->peers->Self());
   }
-  this->relay->RefreshCaches();
+  this->relay->ReassignCacheFeeds();
   this->limits->RefreshPeers();
 }
 
@@ -352,21 +353,21 @@
 }
 
 void RelayDaemon::OnSchedulerLinked(const HostId& host) {
-  this->TellAllUsage(host);
+  this->SendAllUsage(host);
   this->peers->Send(host, PaceMessage{this->relay->Placement().OwnPace()});
   for (const CacheUpdate& update : this->relay->Caches().Snapshot()) {
     this->peers->Send(host, update);
   }
-  this->FollowCaches();
+  this->UpdateSubscribers();
 }
 
 void RelayDaemon::OnGone(const HostId& host) {
-  this->relay->Placement().ForgetPeer(host);
+  this->relay->Placement().RemovePeer(host);
   this->peer_loads.erase(host);
   this->unready_schedulers.erase(host);
   this->forwarder->OnLost(host);
   this->receiver->OnLost(host);
-  this->FollowCaches();
+  this->UpdateSubscribers();
 }
 
 void RelayDaemon::MakeDuties() {
@@ -378,7 +379,7 @@
               this->settings.first_start && this->former_duties.empty(),
           .lease = this->settings.lease_length,
           .window = this->settings.usage_window,
-          .report_due = this->settings.usage_late},
+          .report_due = this->settings.usage_report_due},
       *this->clock, *this->store, *this->platform_duties,
       FleetDutiesInputs{
           .configuration = [this] { return this->relay->Configuration(); },
@@ -394,13 +395,14 @@
           .reading =
               [this](const ServiceId& service) {
                 return this->FleetPrefill(service) /
-                       this->relay->Placement().Pace(service).PromptTokens(
-                           EndpointRole::kPrefill);
+                       this->relay->Placement()
+                           .Pace(service)
+                           .PrefillTokensPerSecond(EndpointRole::kPrefill);
               }});
 }
 
 // Sends this host's usage counts and prefill load to the other schedulers.
-void RelayDaemon::TellUsage() {
+void RelayDaemon::BroadcastUsage() {
   if (!this->IsScheduler()) {
     return;
   }
@@ -430,7 +432,8 @@
   for (const auto& [service, pace] : this->relay->Placement().OwnPace()) {
     double& logged = this->logged_pace[service];
     const double seconds = pace.token_prefill.seconds;
-    if (logged > 0 && std::abs(std::log(seconds / logged)) < kPaceChange) {
+    if (logged > 0 &&
+        std::abs(std::log(seconds / logged)) < kLoggedPaceChange) {
       continue;
     }
     logged = seconds;
@@ -443,7 +446,7 @@
 }
 
 // Sends the usage counts of all hosts to a newly linked scheduler.
-void RelayDaemon::TellAllUsage(const HostId& host) {
+void RelayDaemon::SendAllUsage(const HostId& host) {
   for (const WindowCopy& copy : this->duties->Usage().AllCopies()) {
     this->peers->Send(host, MessageOf(copy));
   }
@@ -469,7 +472,7 @@
   } else if (const auto* tokens = std::get_if<LimitTokens>(&message)) {
     this->limits->OnMessage(from, *tokens);
   } else if (const auto* update = std::get_if<CacheUpdate>(&message)) {
-    this->relay->Caches().TakeUpdate(*update);
+    this->relay->Caches().ApplyUpdate(*update);
   } else if (const auto* usage = std::get_if<UsageCopyMessage>(&message)) {
     this->TakeUsage(from, *usage);
   } else if (const auto* asked = std::get_if<FreshnessQuestion>(&message)) {
@@ -477,9 +480,9 @@
       this->peers->Send(from, *answer);
     }
   } else if (const auto* answer = std::get_if<FreshnessAnswer>(&message)) {
-    this->source->TakeAnswer(*answer);
+    this->source->OnFreshnessAnswer(*answer);
   } else if (const auto* news = std::get_if<EndpointNews>(&message)) {
-    this->source->LearnLeaving(
+    this->source->MarkLeaving(
         {.id = news->endpoint,
          .started = static_cast<int64_t>(news->incarnation)});
   } else if (const auto* pace = std::get_if<PaceMessage>(&message)) {
@@ -509,8 +512,8 @@
 void RelayDaemon::AskPeers(const FreshnessQuestion& question) {
   const std::vector<HostId> others = this->peers->Others();
   size_t asked = 0;
-  for (size_t i = 0; i < others.size() && asked < kPeersAsked; ++i) {
-    const HostId& host = others[this->next_asked++ % others.size()];
+  for (size_t i = 0; i < others.size() && asked < kPeersQueried; ++i) {
+    const HostId& host = others[this->next_queried++ % others.size()];
     asked += this->peers->Send(host, question) ? 1 : 0;
   }
 }
@@ -518,8 +521,8 @@
 // Informs hosts that can't read the endpoint list of a leaving endpoint. Hosts
 // that can read it do so within a second, so messages from a few of them
 // suffice.
-void RelayDaemon::TellLeaving(const EndpointRun& run) {
-  if (this->peers->Rank() < kTellers) {
+void RelayDaemon::BroadcastLeaving(const EndpointRun& run) {
+  if (this->peers->Rank() < kLeavingReporters) {
     this->peers->BroadcastToSchedulers(
         EndpointNews{.endpoint = run.id,
                      .incarnation = static_cast<uint64_t>(run.started),
@@ -544,7 +547,7 @@
           .on_schedulers =
               [this](const std::vector<FleetHost>& schedulers) {
                 this->forwarder->SetSchedulers(schedulers);
-                this->FollowCaches();
+                this->UpdateSubscribers();
               },
           .on_listed =
               [this](size_t schedulers) {
@@ -584,7 +587,7 @@
       away.insert(news.endpoint);
     }
   }
-  this->relay->Placement().SetAway(digest.host, std::move(away));
+  this->relay->Placement().SetUnavailable(digest.host, std::move(away));
 }
 
 void RelayDaemon::AnswerReady(const CallerExchangePtr& exchange) {
@@ -657,7 +660,7 @@
            {"grace_ms", MillisecondsText(this->settings.grace)}});
   this->relay->StartDrain(*this->stop);
   this->forwarder->StartDrain(*this->stop);
-  this->TellNews();
+  this->BroadcastStatus();
   this->peers->Leave();
   this->duties->Retire();
   this->drain_timer =
@@ -667,9 +670,9 @@
 void RelayDaemon::CheckDrained() {
   const StopSchedule schedule = this->stop.value_or(StopSchedule{});
   const Instant now = this->clock->Now();
-  const bool finished = now >= schedule.takes_until &&
+  const bool finished = now >= schedule.accept_until &&
                         this->relay->Waiting() == 0 && this->relay->AllSent();
-  if (!finished && now < schedule.finish_by + kLastAnswers) {
+  if (!finished && now < schedule.finish_by + kFinalAnswerTime) {
     return;
   }
   // Sources that are already ready may still be dispatched in this iteration of
@@ -681,7 +684,7 @@
   LogInfo(kPart, "Stopped.",
           {{"left", std::to_string(this->relay->Waiting())},
            {"stopping_ms", MillisecondsText(now - schedule.signalled)}});
-  this->TellUsage();
+  this->BroadcastUsage();
   this->drain_timer.reset();
   this->stopped();
 }
--- a/packages/daemon/relay_daemon.h
+++ b/packages/daemon/relay_daemon.h
@@ -75,16 +75,16 @@
   }
   SchedulerNews News() const;
   void MeasureLag();
-  void TellNews();
-  void FollowCaches();
+  void BroadcastStatus();
+  void UpdateSubscribers();
   void TakeNews(const HostId& from, const SchedulerNews& news);
-  void TellUsage();
+  void BroadcastUsage();
   double FleetPrefill(const ServiceId& service) const;
-  void TellAllUsage(const HostId& host);
+  void SendAllUsage(const HostId& host);
   void OnPeerMessage(const HostId& from, const PeerMessage& message);
   void TakeUsage(const HostId& from, const UsageCopyMessage& usage);
   void AskPeers(const FreshnessQuestion& question);
-  void TellLeaving(const EndpointRun& run);
+  void BroadcastLeaving(const EndpointRun& run);
   Digest MakeDigest() const;
   void OnDigest(const Digest& digest);
 
@@ -110,9 +110,9 @@
   std::vector<FleetHost> subscribers;        // share the engines' cache events
   std::map<HostId, PrefillLoad> peer_loads;  // of the other schedulers
   std::set<HostId> unready_schedulers;       // linked, but not ready
-  SchedulerNews told_news;                   // last state broadcast
-  std::unique_ptr<Timer> news_timer;
-  Instant news_due{};
+  SchedulerNews sent_status;                 // last state broadcast
+  std::unique_ptr<Timer> status_timer;
+  Instant status_due{};
   double lag = 0;  // moving average of timer delay, seconds
   bool busy = false;
   // Prefill time per prompt token in seconds, as last logged.
@@ -123,7 +123,7 @@
   std::optional<StopSchedule> stop;
   bool ended = false;  // ignores all further messages
   std::unique_ptr<Timer> drain_timer;
-  size_t next_asked = 0;  // round-robin position among the other hosts
+  size_t next_queried = 0;  // round-robin position among the other hosts
 };
 
 }  // namespace hickorystand
--- a/packages/daemon/relay_settings.cc
+++ b/packages/daemon/relay_settings.cc
@@ -13,12 +13,12 @@
 
 // Range of the interval between two reads of the store. Data that must be known
 // within a bound is read twice within that bound, so that one read may fail.
-constexpr Duration kLongestPoll = std::chrono::seconds(1);
-constexpr Duration kShortestPoll = std::chrono::milliseconds(200);
-constexpr int64_t kReadsWithinABound = 2;
+constexpr Duration kMaxPoll = std::chrono::seconds(1);
+constexpr Duration kMinPoll = std::chrono::milliseconds(200);
+constexpr int64_t kReadsPerBound = 2;
 
 // Number of unanswered reads after which other hosts are queried.
-constexpr int64_t kReadsBeforePeers = 2;
+constexpr int64_t kUnansweredReadsBeforePeers = 2;
 
 // A key is accepted if the proof that it is valid is not older than the bound
 // on revoked keys minus this margin. The margin covers the transmission of the
@@ -28,13 +28,13 @@
 // Minimum of windows, bounds and the grace time of a stop, in milliseconds.
 // Shorter ones can't be met, because hosts exchange messages twice a second and
 // read the store once a second.
-constexpr int64_t kLeastLength = 1000;
+constexpr int64_t kMinDurationMs = 1000;
 
 constexpr double kThousandths = 1000;
 
 // Minimum lease length in milliseconds. A holder stops acting 600 ms before its
 // lease expires, and renews it four times within its length.
-constexpr int64_t kLeastLease = 1200;
+constexpr int64_t kMinLeaseMs = 1200;
 
 SettingRule Address(std::string section, std::string key, std::string help) {
   return {.section = std::move(section),
@@ -92,15 +92,15 @@
       Address("store", "address", "the platform's key-value service"),
       Length("store", "timeout", "1500ms", 10, "timeout of one call"),
       Address("duties", "address", "the platform's usage and scaling calls"),
-      Length("duties", "lease", "3s", kLeastLease,
+      Length("duties", "lease", "3s", kMinLeaseMs,
              "length of the lease on the duties"),
-      Length("duties", "usage_window", "5s", kLeastLength,
+      Length("duties", "usage_window", "5s", kMinDurationMs,
              "period that one usage report covers"),
-      Length("duties", "usage_late", "10s", kLeastLength,
+      Length("duties", "usage_late", "10s", kMinDurationMs,
              "time from a window's end until its report is due"),
-      Length("stop", "grace", "8s", kLeastLength,
+      Length("stop", "grace", "8s", kMinDurationMs,
              "time from the stop signal to the kill"),
-      Length("keys", "revoke_within", "5s", kLeastLength,
+      Length("keys", "revoke_within", "5s", kMinDurationMs,
              "how soon a revoked key must stop working"),
       {.section = "keys",
        .key = "proof_needed",
@@ -108,11 +108,11 @@
        .fallback = "true",
        .help = "whether a host that can't prove the configuration to be the "
                "newest refuses keys"},
-      Length("fleet", "apply_within", "2s", kLeastLength,
+      Length("fleet", "apply_within", "2s", kMinDurationMs,
              "how soon a new configuration must be in force"),
-      Length("fleet", "drain_within", "2s", kLeastLength,
+      Length("fleet", "drain_within", "2s", kMinDurationMs,
              "how soon a leaving endpoint must get nothing new"),
-      Length("retries", "window", "10s", kLeastLength,
+      Length("retries", "window", "10s", kMinDurationMs,
              "period over which retries are counted"),
       {.section = "retries",
        .key = "share",
@@ -132,7 +132,7 @@
        .maximum = int64_t{1} << 40,
        .help = "prefill rate of an engine in the prefill role, until it is "
                "measured"},
-      Length("limits", "window", "8s", kLeastLength,
+      Length("limits", "window", "8s", kMinDurationMs,
              "period over which a client account's limit is enforced"),
       {.section = "limits",
        .key = "overage",
@@ -172,9 +172,8 @@
 FleetSourceOptions ReadSource(const Settings& from) {
   const Duration bound = std::min(from.Length("fleet", "apply_within"),
                                   from.Length("fleet", "drain_within"));
-  const Duration poll =
-      std::clamp(bound / kReadsWithinABound, kShortestPoll, kLongestPoll);
-  return {.poll = poll, .ask_peers_after = poll * kReadsBeforePeers};
+  const Duration poll = std::clamp(bound / kReadsPerBound, kMinPoll, kMaxPoll);
+  return {.poll = poll, .ask_peers_after = poll * kUnansweredReadsBeforePeers};
 }
 
 // A setting that can't change while the host runs, because other hosts know the
@@ -191,8 +190,8 @@
 
 // The initial prefill rate. A change has no effect on a running host, which has
 // measured the rate by then.
-bool GuessDiffers(const RelayHostSettings& one,
-                  const RelayHostSettings& other) {
+bool InitialPaceDiffers(const RelayHostSettings& one,
+                        const RelayHostSettings& other) {
   return one.relay.placement.pace != other.relay.placement.pace;
 }
 
@@ -212,8 +211,9 @@
     FixedSetting{"duties.lease", &Differs<&RelayHostSettings::lease_length>},
     FixedSetting{"duties.usage_window",
                  &Differs<&RelayHostSettings::usage_window>},
-    FixedSetting{"duties.usage_late", &Differs<&RelayHostSettings::usage_late>},
-    FixedSetting{"fleet.prompt_tokens_per_second", &GuessDiffers},
+    FixedSetting{"duties.usage_late",
+                 &Differs<&RelayHostSettings::usage_report_due>},
+    FixedSetting{"fleet.prompt_tokens_per_second", &InitialPaceDiffers},
     FixedSetting{"limits", &Differs<&RelayHostSettings::limits>},
 };
 
@@ -244,7 +244,7 @@
       .grace = from->Length("stop", "grace"),
       .lease_length = from->Length("duties", "lease"),
       .usage_window = from->Length("duties", "usage_window"),
-      .usage_late = from->Length("duties", "usage_late"),
+      .usage_report_due = from->Length("duties", "usage_late"),
       .relay = ReadRelay(*from),
       .limits = {.window = from->Length("limits", "window"),
                  .overage = from->Share("limits", "overage"),
@@ -265,7 +265,7 @@
   return changed;
 }
 
-bool IsRelayFile(const std::string& path) {
+bool IsRelaySettingsFile(const std::string& path) {
   std::ifstream in(path);
   std::string line;
   while (std::getline(in, line)) {
--- a/packages/daemon/relay_settings.h
+++ b/packages/daemon/relay_settings.h
@@ -36,7 +36,7 @@
   Duration grace{};  // from the stop signal to the kill
   Duration lease_length{};
   Duration usage_window{};
-  Duration usage_late{};  // from a window's end until its report is due
+  Duration usage_report_due{};  // from a window's end until its report is due
   RelaySettings relay;
   LimitOptions limits;
   FleetSourceOptions source;
@@ -52,6 +52,6 @@
 
 // Whether a settings file configures a relay host, rather than a stand-alone
 // host.
-bool IsRelayFile(const std::string& path);
+bool IsRelaySettingsFile(const std::string& path);
 
 }  // namespace hickorystand
--- a/packages/daemon/status_page.cc
+++ b/packages/daemon/status_page.cc
@@ -118,7 +118,7 @@
   out.Member("holders_revision", limits.holders_revision)
       .Name("accounts")
       .BeginArray();
-  for (const LimitUse& use : limits.accounts) {
+  for (const LimitUsage& use : limits.accounts) {
     out.BeginObject()
         .Member("id", use.account.Text())
         .Member("unit", NameOfUnit(use.limit.unit))
--- a/packages/daemon/status_page.h
+++ b/packages/daemon/status_page.h
@@ -23,7 +23,7 @@
   double share = 0;                   // fraction of each limit, 0 to 1
   std::optional<Duration> share_age;  // since last confirmed; empty: no share
   int64_t holders_revision = 0;       // of the record of share holders
-  std::vector<LimitUse> accounts;
+  std::vector<LimitUsage> accounts;
 };
 
 // The content of the status page.
--- a/packages/decisions/account_limit.h
+++ b/packages/decisions/account_limit.h
@@ -17,7 +17,7 @@
   double rate = 0;   // units per second
   double burst = 0;  // units
   LimitUnit unit = LimitUnit::kRequests;
-  int64_t plain_tokens = 1;  // cost of a request without token counts
+  int64_t default_tokens = 1;  // cost of a request without token counts
 
   // The cost of a request in units.
   int64_t CostOf(int64_t prompt_tokens, int64_t output_tokens) const {
@@ -25,7 +25,7 @@
       return 1;
     }
     const int64_t tokens = prompt_tokens + output_tokens;
-    return tokens > 0 ? tokens : this->plain_tokens;
+    return tokens > 0 ? tokens : this->default_tokens;
   }
 
   auto operator<=>(const AccountLimit&) const = default;
--- a/packages/decisions/account_limiter.cc
+++ b/packages/decisions/account_limiter.cc
@@ -22,14 +22,14 @@
       options(options),
       last_number(options.first_number - 1) {}
 
-double AccountLimiter::Full(const AccountLimit& limit) const {
+double AccountLimiter::BucketSize(const AccountLimit& limit) const {
   const double tolerance =
       (limit.rate * ToSeconds(this->options.window) + limit.burst) *
           this->options.overage +
       this->options.slack;
   return std::max(limit.burst,
-                  limit.rate * ToSeconds(this->options.least_burst)) +
-         this->options.tolerance_used * tolerance;
+                  limit.rate * ToSeconds(this->options.min_burst_duration)) +
+         this->options.tolerance_fraction * tolerance;
 }
 
 // The fraction of all tokens that this host and its linked hosts receive.
@@ -42,7 +42,7 @@
 // number of linked hosts, so that the homes on the sides of a network partition
 // don't each hold all of it.
 double AccountLimiter::Capacity(const Bucket& bucket) const {
-  const double full = this->Full(bucket.limit);
+  const double full = this->BucketSize(bucket.limit);
   switch (this->options.pooling) {
     case LimitPooling::kNone:
     case LimitPooling::kPeers:
@@ -50,24 +50,24 @@
     case LimitPooling::kHome:
       break;
   }
-  const double local = this->options.local_part;
+  const double local = this->options.local_fraction;
   return full * (local * this->each +
                  (this->IsHome(bucket) ? (1 - local) * this->Linked() : 0));
 }
 
-double AccountLimiter::CountedAt(const Bucket& bucket, Instant now) const {
+double AccountLimiter::TokensAt(const Bucket& bucket, Instant now) const {
   const double seconds = std::max(ToSeconds(now - bucket.at), 0.0);
   const double capacity = this->Capacity(bucket);
   if (bucket.tokens > capacity) {
     return std::max(capacity,
-                    bucket.tokens - this->Full(bucket.limit) * seconds);
+                    bucket.tokens - this->BucketSize(bucket.limit) * seconds);
   }
   return std::min(capacity,
                   bucket.tokens + bucket.limit.rate * this->own * seconds);
 }
 
 void AccountLimiter::Count(Bucket& bucket, Instant now) const {
-  bucket.tokens = this->CountedAt(bucket, now);
+  bucket.tokens = this->TokensAt(bucket, now);
   bucket.at = now;
 }
 
@@ -94,7 +94,7 @@
     }
     for (const Waiting& waiting : entry.second.queue) {
       this->Decide(waiting, {.granted = waiting.from.Empty(),
-                             .retry_after = this->options.shortest_retry,
+                             .retry_after = this->options.min_retry_after,
                              .reason = "no limit"});
     }
     return true;
@@ -108,9 +108,9 @@
       bucket.at = now;
       bucket.home = this->ChooseHome(account);
       if (this->configured && this->own > 0) {
-        bucket.tokens = this->Full(limit) * this->each *
+        bucket.tokens = this->BucketSize(limit) * this->each *
                         (this->options.pooling == LimitPooling::kHome
-                             ? this->options.local_part
+                             ? this->options.local_fraction
                              : 1);
       }
       continue;
@@ -165,25 +165,26 @@
     for (Waiting& waiting : bucket.queue) {
       if (!this->pending.contains(waiting.want)) {
         waiting.want = 0;
-        this->AskHome(bucket, waiting, now);
+        this->RequestTokens(bucket, waiting, now);
       }
     }
   }
 }
 
 // The tokens that the bucket must hold to admit a request.
-double AccountLimiter::Needed(const Bucket& bucket,
-                              const LimitAsk& request,
-                              Instant now) const {
+double AccountLimiter::TokensNeeded(const Bucket& bucket,
+                                    const LimitRequest& request,
+                                    Instant now) const {
   const double capacity = this->Capacity(bucket);
   const auto cost = static_cast<double>(request.cost);
-  const double needed = this->IsHome(bucket)
-                            ? std::min(cost, this->options.low_part * capacity)
-                            : cost;
+  const double needed =
+      this->IsHome(bucket)
+          ? std::min(cost, this->options.low_watermark * capacity)
+          : cost;
   const double reserve =
       now < bucket.short_until
-          ? std::min(this->options.most_kept * capacity,
-                     this->options.kept_per_step * cost *
+          ? std::min(this->options.max_reserve * capacity,
+                     this->options.reserve_per_step * cost *
                          static_cast<double>(request.priority))
           : 0;
   return needed + reserve;
@@ -191,10 +192,10 @@
 
 // Takes the tokens of a request if the bucket holds enough.
 bool AccountLimiter::Spend(Bucket& bucket,
-                           const LimitAsk& request,
+                           const LimitRequest& request,
                            Instant now) const {
   if (this->Capacity(bucket) <= 0 ||
-      bucket.tokens < this->Needed(bucket, request, now)) {
+      bucket.tokens < this->TokensNeeded(bucket, request, now)) {
     return false;
   }
   bucket.tokens -= static_cast<double>(request.cost);
@@ -202,9 +203,9 @@
 }
 
 // Whether enough tokens may arrive before the wait ends.
-bool AccountLimiter::WorthWaiting(const Bucket& bucket,
-                                  const LimitAsk& request,
-                                  Instant now) const {
+bool AccountLimiter::MayServeInTime(const Bucket& bucket,
+                                    const LimitRequest& request,
+                                    Instant now) const {
   if (this->options.pooling == LimitPooling::kNone || this->peers.empty()) {
     return false;
   }
@@ -215,15 +216,16 @@
       std::ranges::all_of(this->peers, [&](const HostId& peer) {
         const auto found = bucket.emptied.find(peer);
         return found != bucket.emptied.end() &&
-               now - found->second < this->options.refusal_memory;
+               now - found->second < this->options.refusal_period;
       });
-  const double missing = this->Needed(bucket, request, now) - bucket.tokens;
+  const double missing =
+      this->TokensNeeded(bucket, request, now) - bucket.tokens;
   return !others_empty || missing < bucket.limit.rate * this->Linked() *
-                                        ToSeconds(this->options.home_wait);
+                                        ToSeconds(this->options.max_home_wait);
 }
 
 std::optional<LimitVerdict> AccountLimiter::Take(Instant now,
-                                                 const LimitAsk& request) {
+                                                 const LimitRequest& request) {
   const auto found = this->buckets.find(request.account);
   if (found == this->buckets.end()) {
     return LimitVerdict{.granted = true, .reason = "no limit"};
@@ -235,7 +237,7 @@
                                                   Waiting waiting,
                                                   Instant now) {
   this->Count(bucket, now);
-  bucket.demanded = now;
+  bucket.last_demand = now;
   if (bucket.queue.empty() && this->Spend(bucket, waiting.ask, now)) {
     return this->Granted(bucket);
   }
@@ -244,12 +246,12 @@
   if (!waiting.from.Empty() && !this->IsHome(bucket)) {
     return this->Refused(bucket, waiting.ask, "not the account's home", now);
   }
-  if (!this->WorthWaiting(bucket, waiting.ask, now)) {
+  if (!this->MayServeInTime(bucket, waiting.ask, now)) {
     return this->Refused(bucket, waiting.ask, "used up", now);
   }
-  waiting.until = now + (this->IsHome(bucket) ? this->options.home_wait
+  waiting.until = now + (this->IsHome(bucket) ? this->options.max_home_wait
                                               : this->options.wait);
-  this->AskHome(bucket, waiting, now);
+  this->RequestTokens(bucket, waiting, now);
   const auto position = std::ranges::upper_bound(
       bucket.queue, waiting.ask.priority, {},
       [](const Waiting& queued) { return queued.ask.priority; });
@@ -259,7 +261,9 @@
 
 // Requests tokens for a waiting request: from the home or, at the home, from
 // all other hosts.
-void AccountLimiter::AskHome(Bucket& bucket, Waiting& waiting, Instant now) {
+void AccountLimiter::RequestTokens(Bucket& bucket,
+                                   Waiting& waiting,
+                                   Instant now) {
   if (this->IsHome(bucket)) {
     if (this->PullDue(bucket, now, 1)) {
       this->Pull(bucket, now);
@@ -290,17 +294,17 @@
 // Refuses a request. The retry-after times of refused requests are staggered at
 // the rate at which tokens arrive, so that the retries don't all come at once.
 LimitVerdict AccountLimiter::Refused(Bucket& bucket,
-                                     const LimitAsk& request,
+                                     const LimitRequest& request,
                                      std::string_view reason,
                                      Instant now) const {
-  bucket.short_until = now + this->options.shortage_memory;
+  bucket.short_until = now + this->options.shortage_period;
   const double part = this->IsHome(bucket) ? this->Linked() : this->each;
   const double rate = std::max(bucket.limit.rate * part, 1.0);
   const double capacity = this->Capacity(bucket);
   const double missing = std::max(
       std::min(static_cast<double>(request.cost), capacity) - bucket.tokens,
       0.0);
-  const Instant longest = now + this->options.longest_retry;
+  const Instant longest = now + this->options.max_retry_after;
   const Instant refilled =
       std::min(longest, now + FromSeconds(std::min(missing / rate, 60.0)));
   bucket.backlog_until = std::min(
@@ -308,7 +312,7 @@
                    FromSeconds(std::min(
                        static_cast<double>(request.cost) / rate, 60.0)));
   return {.retry_after = std::max(bucket.backlog_until - now,
-                                  this->options.shortest_retry),
+                                  this->options.min_retry_after),
           .reason = reason,
           .home = bucket.home,
           .held = bucket.tokens};
@@ -349,7 +353,7 @@
 // The tokens that this host can grant to a pull. A home with recent demand
 // keeps half of its bucket.
 double AccountLimiter::Spare(const Bucket& bucket, Instant now) const {
-  const bool busy = now - bucket.demanded < this->options.shortage_memory;
+  const bool busy = now - bucket.last_demand < this->options.shortage_period;
   const bool keeps_half = this->IsHome(bucket) && busy;
   return std::max(bucket.tokens - (keeps_half ? this->Capacity(bucket) / 2 : 0),
                   0.0);
@@ -363,7 +367,7 @@
     this->effects.grants.emplace_back(
         from, TokenGrant{.number = want.number,
                          .account = want.account,
-                         .retry_after = this->options.shortest_retry});
+                         .retry_after = this->options.min_retry_after});
     return;
   }
   Bucket& bucket = found->second;
@@ -420,7 +424,7 @@
     } else {
       const LimitVerdict refused =
           this->Refused(bucket, served.ask, "used up at the home", now);
-      bucket.refused_until = now + this->options.refusal_memory;
+      bucket.refused_until = now + this->options.refusal_period;
       this->Decide(served, {.retry_after = std::max(grant.retry_after,
                                                     refused.retry_after),
                             .reason = refused.reason,
@@ -445,7 +449,8 @@
                                           home_pending ? "no answer of the home"
                                                        : "used up",
                                           now));
-    } else if (!home_pending && !this->WorthWaiting(bucket, waiting.ask, now)) {
+    } else if (!home_pending &&
+               !this->MayServeInTime(bucket, waiting.ask, now)) {
       this->Decide(waiting, this->Refused(bucket, waiting.ask, "used up", now));
     } else {
       rest.push_back(std::move(waiting));
@@ -454,27 +459,29 @@
   bucket.queue = std::move(rest);
 }
 
-Duration AccountLimiter::PullPeriod(const Bucket& bucket) const {
-  const double fill_seconds = this->options.local_part *
-                              this->Full(bucket.limit) /
+Duration AccountLimiter::PullInterval(const Bucket& bucket) const {
+  const double fill_seconds = this->options.local_fraction *
+                              this->BucketSize(bucket.limit) /
                               std::max(bucket.limit.rate, 1.0);
   const Duration usual = std::clamp(
-      FromSeconds(std::min(fill_seconds, 60.0) * this->options.pull_part),
-      this->options.shortest_pull, this->options.longest_pull);
+      FromSeconds(std::min(fill_seconds, 60.0) *
+                  this->options.pull_fill_fraction),
+      this->options.min_pull_interval, this->options.max_pull_interval);
   if (bucket.queue.empty() && bucket.tokens >= 0) {
     return usual;
   }
   const auto peers = static_cast<int64_t>(this->peers.size());
-  return std::clamp(this->options.hasty_pull_per_peer * peers,
-                    this->options.hasty_pull, usual);
+  return std::clamp(this->options.urgent_pull_interval_per_peer * peers,
+                    this->options.urgent_pull_interval, usual);
 }
 
 // Whether this fraction of the pull interval has passed since the last pull.
 bool AccountLimiter::PullDue(const Bucket& bucket,
                              Instant now,
                              double part) const {
-  return !this->peers.empty() && ToSeconds(now - bucket.pulled) >=
-                                     part * ToSeconds(this->PullPeriod(bucket));
+  return !this->peers.empty() &&
+         ToSeconds(now - bucket.pulled) >=
+             part * ToSeconds(this->PullInterval(bucket));
 }
 
 void AccountLimiter::Pull(Bucket& bucket, Instant now) {
@@ -506,7 +513,8 @@
   });
   std::vector<Bucket*> low;
   for (auto& [account, bucket] : this->buckets) {
-    const bool has_demand = now - bucket.demanded < this->options.idle_after;
+    const bool has_demand =
+        now - bucket.last_demand < this->options.idle_period;
     if (!has_demand && bucket.queue.empty()) {
       continue;
     }
@@ -514,7 +522,7 @@
     this->Advance(bucket, now);
     const bool needs_tokens =
         !bucket.queue.empty() ||
-        bucket.tokens < this->options.low_part * this->Capacity(bucket);
+        bucket.tokens < this->options.low_watermark * this->Capacity(bucket);
     if (this->options.pooling != LimitPooling::kNone && this->IsHome(bucket) &&
         needs_tokens) {
       low.push_back(&bucket);
@@ -535,7 +543,7 @@
 
 double AccountLimiter::Held(Instant now, const AccountId& account) const {
   const auto found = this->buckets.find(account);
-  return found == this->buckets.end() ? 0 : this->CountedAt(found->second, now);
+  return found == this->buckets.end() ? 0 : this->TokensAt(found->second, now);
 }
 
 const HostId& AccountLimiter::HomeOf(const AccountId& account) const {
--- a/packages/decisions/account_limiter.h
+++ b/packages/decisions/account_limiter.h
@@ -69,13 +69,13 @@
 };
 
 // A request that needs tokens.
-struct LimitAsk {
+struct LimitRequest {
   int64_t number = 0;  // chosen by the caller
   AccountId account;
   int64_t cost = 0;
   int64_t priority = 0;  // 0 is the most urgent
 
-  auto operator<=>(const LimitAsk&) const = default;
+  auto operator<=>(const LimitRequest&) const = default;
 };
 
 // Whether a request is admitted, and the data behind the decision.
@@ -118,45 +118,45 @@
   // Fraction of the tolerance that is added to the bucket size, so that demand
   // that fluctuates around the rate isn't refused. The rest covers hosts that
   // are partitioned from each other.
-  double tolerance_used = 0.4;
+  double tolerance_fraction = 0.4;
   // Fraction of the bucket that is split among all hosts; the home holds the
   // rest.
-  double local_part = 0.5;
+  double local_fraction = 0.5;
   // The bucket holds at least this time's worth of the rate, so that it does
   // not overflow and lose tokens between two pulls.
-  Duration least_burst = std::chrono::milliseconds(250);
+  Duration min_burst_duration = std::chrono::milliseconds(250);
   // Maximum wait of a request for the home's reply, and maximum wait at the
   // home for tokens from other hosts.
   Duration wait = std::chrono::milliseconds(80);
-  Duration home_wait = std::chrono::milliseconds(40);
+  Duration max_home_wait = std::chrono::milliseconds(40);
   // The interval between pulls is `pull_fill_fraction` of the time in which
   // the other hosts' parts fill, clamped to the minimum and maximum. While
   // requests wait or the bucket is in debt, it is the urgent interval per peer
   // times the number of peers, at least the urgent interval and at most the
   // usual one.
-  double pull_part = 0.8;
-  Duration shortest_pull = std::chrono::milliseconds(100);
-  Duration longest_pull = std::chrono::seconds(1);
-  Duration hasty_pull = std::chrono::milliseconds(30);
-  Duration hasty_pull_per_peer = std::chrono::milliseconds(2);
+  double pull_fill_fraction = 0.8;
+  Duration min_pull_interval = std::chrono::milliseconds(100);
+  Duration max_pull_interval = std::chrono::seconds(1);
+  Duration urgent_pull_interval = std::chrono::milliseconds(30);
+  Duration urgent_pull_interval_per_peer = std::chrono::milliseconds(2);
   // The home pulls tokens while it holds less than this fraction of its bucket.
   // At the home, a request that costs more than this fraction needs only this
   // much to be admitted, and leaves the bucket in debt.
-  double low_part = 0.75;
+  double low_watermark = 0.75;
   // During a shortage, a request must leave a reserve for more urgent requests:
   // this multiple of its own cost per priority step, up to a fraction of the
   // bucket.
-  double kept_per_step = 2;
-  double most_kept = 0.2;
-  Duration shortage_memory = std::chrono::seconds(1);
+  double reserve_per_step = 2;
+  double max_reserve = 0.2;
+  Duration shortage_period = std::chrono::seconds(1);
   // No pulls for an account that had no demand for this long.
-  Duration idle_after = std::chrono::seconds(2);
+  Duration idle_period = std::chrono::seconds(2);
   Duration pull_timeout = std::chrono::seconds(1);
-  Duration longest_retry = std::chrono::seconds(2);
-  Duration shortest_retry = std::chrono::milliseconds(50);
+  Duration max_retry_after = std::chrono::seconds(2);
+  Duration min_retry_after = std::chrono::milliseconds(50);
   // For this long a host sends no requests to a home that refused it, and a
   // peer that granted less than was pulled counts as empty.
-  Duration refusal_memory = std::chrono::milliseconds(50);
+  Duration refusal_period = std::chrono::milliseconds(50);
   int64_t first_number = 1;
 
   auto operator<=>(const LimitOptions&) const = default;
@@ -182,7 +182,7 @@
 
   // Takes a request's tokens. Returns nothing if the request has to wait; the
   // decision then follows in LimitEffects::decided.
-  std::optional<LimitVerdict> Take(Instant now, const LimitAsk& request);
+  std::optional<LimitVerdict> Take(Instant now, const LimitRequest& request);
 
   // Drops a waiting request; no decision follows for it.
   void Cancel(int64_t number);
@@ -205,7 +205,7 @@
  private:
   // A request of this or another host that waits for tokens.
   struct Waiting {
-    LimitAsk ask;
+    LimitRequest ask;
     HostId from;  // empty: this host
     Instant until{};
     int64_t want = 0;  // number of the TokenWant sent to the home; 0: none
@@ -217,7 +217,7 @@
     double tokens = 0;
     Instant at{};  // when `tokens` was last brought up to date
     HostId home;
-    Instant demanded{};       // last request for tokens
+    Instant last_demand{};    // last request for tokens
     Instant short_until{};    // end of the shortage after a refusal
     Instant refused_until{};  // no requests to the home until then
     Instant backlog_until{};  // retries of refused requests are spread to it
@@ -234,31 +234,31 @@
   };
 
   bool IsHome(const Bucket& bucket) const { return bucket.home == this->self; }
-  double Full(const AccountLimit& limit) const;
+  double BucketSize(const AccountLimit& limit) const;
   double Capacity(const Bucket& bucket) const;
   double Linked() const;
-  double CountedAt(const Bucket& bucket, Instant now) const;
+  double TokensAt(const Bucket& bucket, Instant now) const;
   void Count(Bucket& bucket, Instant now) const;
   HostId ChooseHome(const AccountId& account) const;
-  double Needed(const Bucket& bucket,
-                const LimitAsk& request,
-                Instant now) const;
-  bool Spend(Bucket& bucket, const LimitAsk& request, Instant now) const;
-  bool WorthWaiting(const Bucket& bucket,
-                    const LimitAsk& request,
-                    Instant now) const;
+  double TokensNeeded(const Bucket& bucket,
+                      const LimitRequest& request,
+                      Instant now) const;
+  bool Spend(Bucket& bucket, const LimitRequest& request, Instant now) const;
+  bool MayServeInTime(const Bucket& bucket,
+                      const LimitRequest& request,
+                      Instant now) const;
   std::optional<LimitVerdict> Serve(Bucket& bucket,
                                     Waiting waiting,
                                     Instant now);
-  void AskHome(Bucket& bucket, Waiting& waiting, Instant now);
+  void RequestTokens(Bucket& bucket, Waiting& waiting, Instant now);
   LimitVerdict Granted(const Bucket& bucket) const;
   LimitVerdict Refused(Bucket& bucket,
-                       const LimitAsk& request,
+                       const LimitRequest& request,
                        std::string_view reason,
                        Instant now) const;
   void Decide(const Waiting& waiting, const LimitVerdict& verdict);
   void Advance(Bucket& bucket, Instant now);
-  Duration PullPeriod(const Bucket& bucket) const;
+  Duration PullInterval(const Bucket& bucket) const;
   bool PullDue(const Bucket& bucket, Instant now, double part) const;
   void Pull(Bucket& bucket, Instant now);
   void Send(const HostId& to, TokenWant want, Instant now);
--- a/packages/decisions/admission.cc
+++ b/packages/decisions/admission.cc
@@ -12,8 +12,8 @@
 
 constexpr double kDrainWindowSeconds = 1;
 constexpr double kDrainGain = 0.3;
-constexpr double kLongestRetrySeconds = 30;
-constexpr double kJitter = 0.5;
+constexpr double kMaxRetrySeconds = 30;
+constexpr double kRetryJitter = 0.5;
 constexpr double kMinWeight = 0.001;
 constexpr size_t kMaxPeers = 1024;
 
@@ -41,10 +41,10 @@
 // The counter of an account that becomes active, raised to the current virtual
 // time minus the credit. Otherwise an account could accumulate credit while
 // idle and then starve all others for as long.
-double Admission::Lifted(const Counted& account) const {
+double Admission::LiftedCounter(const Counted& account) const {
   return std::max(
       account.counter,
-      this->virtual_time - this->options.idle_credit / account.weight);
+      this->virtual_time - this->options.idle_credit_tokens / account.weight);
 }
 
 void Admission::Enqueue(Instant now,
@@ -54,16 +54,15 @@
   assert(!this->index.contains(request.id) && "request is already queued");
   Counted& account = this->accounts[request.account];
   if (account.waiting == 0) {
-    account.counter = this->Lifted(account);
+    account.counter = this->LiftedCounter(account);
   }
   const bool batch = request.request_class == RequestClass::kBatch;
   const Duration max_wait =
       FromSeconds(ToSeconds(request.deadline - request.arrived) *
-                  this->options.batch_age_share);
+                  this->options.batch_wait_share);
   const Instant batch_due =
       this->options.age_batch
-          ? request.arrived +
-                std::min(max_wait, this->options.longest_batch_age)
+          ? request.arrived + std::min(max_wait, this->options.max_batch_wait)
           : Instant::max();
   Waiting waiting{.request = request.id,
                   .account = request.account,
@@ -91,7 +90,7 @@
   }
   const Waiting waiting = found->second;
   this->index.erase(found);
-  Pool& pool = this->pools.at(waiting.service);
+  ServiceQueue& pool = this->pools.at(waiting.service);
   Lines& queues = pool.queues.at(waiting.account);
   const bool batch = IsBatch(waiting);
   [[maybe_unused]] const size_t erased =
@@ -180,18 +179,18 @@
   account.counter += waiting.cost / account.weight;
   account.served += waiting.cost;
   account.in_flight += 1;
-  Pool& pool = this->pools.at(waiting.service);
+  ServiceQueue& pool = this->pools.at(waiting.service);
   pool.drained += waiting.cost;
-  const double elapsed = ToSeconds(now - pool.drained_at);
+  const double elapsed = ToSeconds(now - pool.window_start);
   if (elapsed >= kDrainWindowSeconds) {
     const double rate = pool.drained / elapsed;
     pool.drain += (pool.drain == 0 ? 1 : kDrainGain) * (rate - pool.drain);
     pool.drained = 0;
-    pool.drained_at = now;
+    pool.window_start = now;
   }
 }
 
-void Admission::Correct(const AccountId& account, double difference) {
+void Admission::AdjustCost(const AccountId& account, double difference) {
   const auto found = this->accounts.find(account);
   if (found != this->accounts.end()) {
     found->second.counter += difference / found->second.weight;
@@ -232,7 +231,7 @@
   peer.sequence = digest.sequence;
 }
 
-void Admission::OnHostGone(const HostId& host) {
+void Admission::OnHostLost(const HostId& host) {
   this->peers.erase(host);
 }
 
@@ -253,7 +252,7 @@
   const auto own = queues.find(request.account);
   const double queued = own == queues.end() ? 0 : own->second.urgent_cost;
   const double counter =
-      account.waiting > 0 ? account.counter : this->Lifted(account);
+      account.waiting > 0 ? account.counter : this->LiftedCounter(account);
   const double start = counter + queued / account.weight;
   double ahead = queued + cost;
   for (const auto& [id, queue] : queues) {
@@ -278,16 +277,16 @@
     }
     seconds = std::max(seconds, total / pool->second.drain);
   }
-  std::uniform_real_distribution<double> jitter(0, kJitter);
-  seconds = std::min(seconds, kLongestRetrySeconds);
+  std::uniform_real_distribution<double> jitter(0, kRetryJitter);
+  seconds = std::min(seconds, kMaxRetrySeconds);
   return FromSeconds(seconds * (1 + jitter(this->random)));
 }
 
-bool Admission::Meetable(Instant now,
-                         const Request& request,
-                         double seconds) const {
+bool Admission::CanMeetDeadline(Instant now,
+                                const Request& request,
+                                double seconds) const {
   const double remaining = ToSeconds(request.deadline - now);
-  return remaining > 0 && seconds <= remaining * this->options.wait_share;
+  return remaining > 0 && seconds <= remaining * this->options.max_wait_share;
 }
 
 std::vector<ServiceId> Admission::Services() const {
--- a/packages/decisions/admission.h
+++ b/packages/decisions/admission.h
@@ -42,10 +42,12 @@
   bool fair = true;               // false: first in, first out
   bool refuse_unmeetable = true;  // false: queue until the deadline has passed
   bool age_batch = true;
-  double idle_credit = 20000;    // tokens of credit of an account that was idle
-  double batch_age_share = 0.6;  // of the time to the deadline; then due
-  Duration longest_batch_age = std::chrono::minutes(10);
-  double wait_share = 0.8;  // of the remaining time that may be spent waiting
+  double idle_credit_tokens =
+      20000;  // tokens of credit of an account that was idle
+  double batch_wait_share = 0.6;  // of the time to the deadline; then due
+  Duration max_batch_wait = std::chrono::minutes(10);
+  double max_wait_share =
+      0.8;  // of the remaining time that may be spent waiting
 
   auto operator<=>(const AdmissionOptions&) const = default;
 };
@@ -91,7 +93,7 @@
 
   // Corrects the cost charged by Start(): the real cost differed from the
   // estimate, or the request did not run.
-  void Correct(const AccountId& account, double difference);
+  void AdjustCost(const AccountId& account, double difference);
 
   // A started request ended, or will be queued again.
   void Ended(const AccountId& account);
@@ -99,7 +101,7 @@
   // Adds the work that a peer has served since its previous digest to the
   // counters.
   void OnDigest(const Digest& digest);
-  void OnHostGone(const HostId& host);
+  void OnHostLost(const HostId& host);
 
   // Estimated queue time of a new request, from the drain rate of the service
   // and the share of its account.
@@ -110,7 +112,9 @@
   Duration RetryAfter(const ServiceId& service);
 
   // Whether a request can meet its deadline after a wait of `seconds`.
-  bool Meetable(Instant now, const Request& request, double seconds) const;
+  bool CanMeetDeadline(Instant now,
+                       const Request& request,
+                       double seconds) const;
 
   // Services with queued requests.
   std::vector<ServiceId> Services() const;
@@ -140,11 +144,11 @@
     int64_t waiting = 0;
     int64_t in_flight = 0;
   };
-  struct Pool {
+  struct ServiceQueue {
     std::map<AccountId, Lines> queues;
-    double drain = 0;      // cost per second, smoothed
-    Instant drained_at{};  // start of the measuring window
-    double drained = 0;    // cost started since drained_at
+    double drain = 0;        // cost per second, smoothed
+    Instant window_start{};  // start of the measuring window
+    double drained = 0;      // cost started since window_start
   };
   struct Peer {
     uint64_t incarnation = 0;
@@ -152,7 +156,7 @@
     std::map<AccountId, AccountServed> served;
   };
 
-  double Lifted(const Counted& account) const;
+  double LiftedCounter(const Counted& account) const;
   std::vector<const Waiting*> FirstOf(Instant now,
                                       const Lines& lines,
                                       size_t count) const;
@@ -161,7 +165,7 @@
   AdmissionOptions options;
   std::mt19937_64 random;
   std::map<AccountId, Counted> accounts;
-  std::map<ServiceId, Pool> pools;
+  std::map<ServiceId, ServiceQueue> pools;
   std::map<RequestId, Waiting> index;
   std::map<HostId, Peer> peers;
   double virtual_time = 0;
--- a/packages/decisions/answer_times.cc
+++ b/packages/decisions/answer_times.cc
@@ -16,7 +16,7 @@
 constexpr size_t kSamplesForQuantile = 20;
 
 // A size class is the number of bits of a 64-bit token count.
-constexpr int kMostSizes = 64;
+constexpr int kSizeClasses = 64;
 
 }  // namespace
 
@@ -43,7 +43,7 @@
   this->begun = now;
 }
 
-double AnswerTimes::LongestOf(const Samples& samples) {
+double AnswerTimes::SamplesP95(const Samples& samples) {
   const size_t count = acc::count(samples);
   if (count == 0) {
     return 0;
@@ -56,7 +56,7 @@
   Recent& times = this->recent[kind];
   times.RollTo(now);
   times.current(ToSeconds(took));
-  this->ForgetOld(now);
+  this->RemoveExpired(now);
 }
 
 std::optional<double> AnswerTimes::SecondsOf(Instant now,
@@ -65,13 +65,13 @@
   if (found == this->recent.end() || now - found->second.begun > 2 * kPeriod) {
     return std::nullopt;
   }
-  return std::max(LongestOf(found->second.current),
-                  LongestOf(found->second.previous));
+  return std::max(SamplesP95(found->second.current),
+                  SamplesP95(found->second.previous));
 }
 
-std::optional<Duration> AnswerTimes::Longest(Instant now,
-                                             const AnswerKind& kind) const {
-  for (int distance = 0; distance < kMostSizes; ++distance) {
+std::optional<Duration> AnswerTimes::P95(Instant now,
+                                         const AnswerKind& kind) const {
+  for (int distance = 0; distance < kSizeClasses; ++distance) {
     AnswerKind near = kind;
     near.size_class = kind.size_class + distance;
     if (const auto longer = this->SecondsOf(now, near)) {
@@ -85,7 +85,7 @@
   return std::nullopt;
 }
 
-void AnswerTimes::ForgetOld(Instant now) {
+void AnswerTimes::RemoveExpired(Instant now) {
   if (now - this->forgot_at < kPeriod) {
     return;
   }
--- a/packages/decisions/answer_times.h
+++ b/packages/decisions/answer_times.h
@@ -47,7 +47,7 @@
   // The duration that 19 of 20 answers of the kind don't exceed. If the kind
   // has no samples, it is estimated from the route's nearest size; nullopt if
   // the route has none.
-  std::optional<Duration> Longest(Instant now, const AnswerKind& kind) const;
+  std::optional<Duration> P95(Instant now, const AnswerKind& kind) const;
 
  private:
   using Samples = boost::accumulators::accumulator_set<
@@ -69,12 +69,12 @@
   };
 
   static Samples Empty();
-  static double LongestOf(const Samples& samples);
+  static double SamplesP95(const Samples& samples);
 
   // nullopt if the kind itself has no samples.
   std::optional<double> SecondsOf(Instant now, const AnswerKind& kind) const;
 
-  void ForgetOld(Instant now);
+  void RemoveExpired(Instant now);
 
   std::map<AnswerKind, Recent> recent;
   Instant forgot_at{};
--- a/packages/decisions/claims.cc
+++ b/packages/decisions/claims.cc
@@ -17,7 +17,7 @@
 constexpr int64_t kLeaseWindows = 3;
 
 // How often expired grants of requests that were never sent are removed.
-constexpr Duration kPruneEvery = std::chrono::seconds(1);
+constexpr Duration kPruneInterval = std::chrono::seconds(1);
 
 // Hashes a field preceded by its length, so that two different pairs of fields
 // never concatenate to the same bytes.
@@ -57,13 +57,13 @@
   return key;
 }
 
-ClaimBook::ClaimBook(ClaimOptions options) : options(std::move(options)) {
+ClaimManager::ClaimManager(ClaimOptions options) : options(std::move(options)) {
   assert(!this->options.host.Empty() && "ClaimOptions::host is empty");
 }
 
-void ClaimBook::Claim(Instant now,
-                      const ClaimRequest& request,
-                      ClaimActions& out) {
+void ClaimManager::Claim(Instant now,
+                         const ClaimRequest& request,
+                         ClaimActions& out) {
   assert(!request.key.empty() && "the key is empty; make it with ClaimKey()");
   assert(request.window > Duration::zero() &&
          "the duplicate window must be positive");
@@ -88,30 +88,30 @@
   this->OnTick(now, out);
 }
 
-bool ClaimBook::MaySend(Instant now, const RequestId& request) const {
+bool ClaimManager::MaySend(Instant now, const RequestId& request) const {
   const auto found = this->granted.find(request);
   return found != this->granted.end() && now < found->second.valid_until;
 }
 
-void ClaimBook::Forget(const RequestId& request) {
+void ClaimManager::Forget(const RequestId& request) {
   this->granted.erase(request);
 }
 
-void ClaimBook::Withdraw(Instant now,
-                         const RequestId& request,
-                         ClaimActions& out) {
+void ClaimManager::Withdraw(Instant now,
+                            const RequestId& request,
+                            ClaimActions& out) {
   const auto found = this->granted.find(request);
   if (found == this->granted.end()) {
     return;
   }
   this->AddCleanUp({.key = found->second.key,
                     .token = found->second.token,
-                    .last_sent = found->second.last_lost});
+                    .last_sent = found->second.last_unanswered});
   this->granted.erase(found);
   this->OnTick(now, out);
 }
 
-void ClaimBook::OnTick(Instant now, ClaimActions& out) {
+void ClaimManager::OnTick(Instant now, ClaimActions& out) {
   this->ExpireDue(now, out);
   if (now >= this->next_batch &&
       std::ssize(this->batches) < this->options.max_in_flight) {
@@ -122,26 +122,26 @@
   }
 }
 
-bool ClaimBook::Busy() const {
+bool ClaimManager::Busy() const {
   return !this->waiting.empty() || !this->clean_ups.empty();
 }
 
-void ClaimBook::OnStoreReply(Instant now,
-                             CallTag tag,
-                             const StoreReply& reply,
-                             ClaimActions& out) {
+void ClaimManager::OnStoreReply(Instant now,
+                                CallTag tag,
+                                const StoreReply& reply,
+                                ClaimActions& out) {
   if (const auto batch = this->batches.extract(tag)) {
     this->OnBatch(now, batch.mapped(), reply, out);
-  } else if (const auto clean_up = this->cleaning.extract(tag)) {
+  } else if (const auto clean_up = this->clean_ups_in_flight.extract(tag)) {
     this->OnCleanUp(clean_up.mapped(), reply);
   }
   this->OnTick(now, out);
 }
 
-void ClaimBook::OnLeaseGranted(Instant now,
-                               CallTag tag,
-                               const Result<int64_t>& lease,
-                               ClaimActions& out) {
+void ClaimManager::OnLeaseGranted(Instant now,
+                                  CallTag tag,
+                                  const Result<int64_t>& lease,
+                                  ClaimActions& out) {
   const auto found = std::ranges::find_if(
       this->leases,
       [tag](const auto& entry) { return entry.second.call == tag; });
@@ -165,14 +165,16 @@
 
 // Refuses the claims of a window whose lease request failed. Claims that were
 // never sent have no record; those that may have one are retried.
-void ClaimBook::RefuseUnsent(Instant now, Duration window, ClaimActions& out) {
+void ClaimManager::RefuseUnsent(Instant now,
+                                Duration window,
+                                ClaimActions& out) {
   std::vector<std::string> refused;
   for (auto& [token, claim] : this->waiting) {
     if (claim.request.window != window || claim.in_flight) {
       continue;
     }
-    if (claim.perhaps_recorded) {
-      claim.next_try = now + this->options.retry_every;
+    if (claim.may_be_recorded) {
+      claim.next_try = now + this->options.retry_interval;
     } else {
       refused.push_back(token);
     }
@@ -183,7 +185,7 @@
 }
 
 // Whether there is a usable lease for the window; requests one otherwise.
-bool ClaimBook::HasLease(Instant now, Duration window, ClaimActions& out) {
+bool ClaimManager::HasLease(Instant now, Duration window, ClaimActions& out) {
   SharedLease& shared = this->leases[window];
   if (shared.lease != 0 && now < shared.usable_until) {
     return true;
@@ -200,7 +202,7 @@
 
 // Selects the oldest due claims for a transaction, only one per key, as a
 // transaction may put a key only once.
-ClaimBook::Batch ClaimBook::NextBatch(Instant now, ClaimActions& out) {
+ClaimManager::Batch ClaimManager::NextBatch(Instant now, ClaimActions& out) {
   std::set<std::string> keys;
   for (const auto& [token, claim] : this->waiting) {
     if (claim.in_flight) {
@@ -222,7 +224,7 @@
   return batch;
 }
 
-void ClaimBook::SendBatch(Instant now, ClaimActions& out) {
+void ClaimManager::SendBatch(Instant now, ClaimActions& out) {
   Batch batch = this->NextBatch(now, out);
   if (batch.empty()) {
     return;
@@ -246,16 +248,16 @@
   }
   const CallTag tag = ++this->last_tag;
   this->batches.emplace(tag, std::move(batch));
-  this->next_batch = now + this->options.batch_every;
+  this->next_batch = now + this->options.batch_interval;
   ++this->counts.transactions;
   out.emplace_back(
       RunTransaction{.tag = tag, .transaction = std::move(transaction)});
 }
 
-void ClaimBook::OnBatch(Instant now,
-                        const Batch& batch,
-                        const StoreReply& reply,
-                        ClaimActions& out) {
+void ClaimManager::OnBatch(Instant now,
+                           const Batch& batch,
+                           const StoreReply& reply,
+                           ClaimActions& out) {
   for (const std::string& token : batch) {
     const auto found = this->waiting.find(token);
     if (found == this->waiting.end()) {
@@ -269,24 +271,24 @@
         this->Answer(token, ClaimResult::kGranted, out);
         break;
       case StoreOutcome::kOtherwise:
-        this->SettleWrite(claim, reply, out);
+        this->ResolveClaim(claim, reply, out);
         break;
       case StoreOutcome::kNotApplied:
-        if (!claim.perhaps_recorded) {
+        if (!claim.may_be_recorded) {
           // An expired lease makes the store refuse the transaction.
           this->leases[claim.request.window] = {};
           this->Answer(token, ClaimResult::kUnavailable, out);
         } else {
-          claim.next_try = now + this->options.retry_every;
+          claim.next_try = now + this->options.retry_interval;
         }
         break;
       case StoreOutcome::kUnknown:
         // Retried with the same token: the record shows whether the first
         // attempt took effect. Assuming failure would let the request run
         // twice, or report it as not run and then refuse its repeat.
-        claim.perhaps_recorded = true;
-        claim.last_lost = claim.last_sent;
-        claim.next_try = now + this->options.retry_every;
+        claim.may_be_recorded = true;
+        claim.last_unanswered = claim.last_sent;
+        claim.next_try = now + this->options.retry_interval;
         break;
     }
   }
@@ -294,9 +296,9 @@
 
 // Handles one claim of a batch that created nothing because one of its keys
 // existed already. The returned records show whether it was this claim's key.
-void ClaimBook::SettleWrite(Waiting& claim,
-                            const StoreReply& reply,
-                            ClaimActions& out) {
+void ClaimManager::ResolveClaim(Waiting& claim,
+                                const StoreReply& reply,
+                                ClaimActions& out) {
   const StoreRecord* record = FindRecord(reply, claim.request.key);
   if (record == nullptr) {
     return;  // another key of the batch existed; retried in the next batch
@@ -310,13 +312,13 @@
   }
 }
 
-void ClaimBook::Grant(const Waiting& claim) {
+void ClaimManager::Grant(const Waiting& claim) {
   const bool inserted =
       this->granted
           .emplace(claim.request.request,
                    Granted{.key = claim.request.key,
                            .token = claim.token,
-                           .last_lost = claim.last_lost,
+                           .last_unanswered = claim.last_unanswered,
                            .valid_until =
                                claim.first_sent + claim.request.window / 2})
           .second;
@@ -324,13 +326,13 @@
          "a request is granted once; call OnSent() when it was sent");
 }
 
-void ClaimBook::Answer(const std::string& token,
-                       ClaimResult result,
-                       ClaimActions& out) {
+void ClaimManager::Answer(const std::string& token,
+                          ClaimResult result,
+                          ClaimActions& out) {
   const auto claim = this->waiting.extract(token);
   assert(claim && "a claim is answered once");
   const Waiting& answered = claim.mapped();
-  assert((result != ClaimResult::kUnavailable || !answered.perhaps_recorded) &&
+  assert((result != ClaimResult::kUnavailable || !answered.may_be_recorded) &&
          "kUnavailable means that certainly no record exists");
   out.emplace_back(
       AnswerClaim{.request = answered.request.request, .result = result});
@@ -339,9 +341,9 @@
 // Answers claims whose deadline has passed: kUnknown if a record may exist,
 // else kUnavailable. Such a record would cause the caller's repeat to be
 // refused although the request was never sent, so a clean-up deletes it.
-void ClaimBook::ExpireDue(Instant now, ClaimActions& out) {
+void ClaimManager::ExpireDue(Instant now, ClaimActions& out) {
   if (now >= this->next_prune) {
-    this->next_prune = now + kPruneEvery;
+    this->next_prune = now + kPruneInterval;
     std::erase_if(this->granted, [now](const auto& entry) {
       return now >= entry.second.valid_until;
     });
@@ -354,7 +356,7 @@
   }
   for (const std::string& token : due) {
     const Waiting& claim = this->waiting.at(token);
-    const bool may_be_recorded = claim.perhaps_recorded || claim.in_flight;
+    const bool may_be_recorded = claim.may_be_recorded || claim.in_flight;
     if (may_be_recorded) {
       this->AddCleanUp({.key = claim.request.key,
                         .token = token,
@@ -367,7 +369,7 @@
   }
 }
 
-void ClaimBook::AddCleanUp(CleanUp clean_up) {
+void ClaimManager::AddCleanUp(CleanUp clean_up) {
   if (std::ssize(this->clean_ups) < this->options.max_clean_ups) {
     const std::string token = clean_up.token;
     this->clean_ups.insert_or_assign(token, std::move(clean_up));
@@ -376,7 +378,7 @@
 
 // Deletes one unused record if it holds the claim's own token: a later claim of
 // the same key by another request must stay.
-void ClaimBook::SendCleanUps(Instant now, ClaimActions& out) {
+void ClaimManager::SendCleanUps(Instant now, ClaimActions& out) {
   const auto due =
       std::ranges::find_if(this->clean_ups, [now](const auto& entry) {
         return !entry.second.in_flight && now >= entry.second.next_try;
@@ -386,11 +388,11 @@
   }
   auto& [token, clean_up] = *due;
   const CallTag tag = ++this->last_tag;
-  this->cleaning.emplace(tag, token);
+  this->clean_ups_in_flight.emplace(tag, token);
   clean_up.in_flight = true;
   clean_up.asked = now;
-  clean_up.next_try = now + this->options.retry_every;
-  this->next_batch = now + this->options.batch_every;
+  clean_up.next_try = now + this->options.retry_interval;
+  this->next_batch = now + this->options.batch_interval;
   ++this->counts.transactions;
   out.emplace_back(RunTransaction{
       .tag = tag,
@@ -400,7 +402,8 @@
                       .then = {StoreDelete(clean_up.key)}}});
 }
 
-void ClaimBook::OnCleanUp(const std::string& token, const StoreReply& reply) {
+void ClaimManager::OnCleanUp(const std::string& token,
+                             const StoreReply& reply) {
   const auto found = this->clean_ups.find(token);
   if (found == this->clean_ups.end()) {
     return;
--- a/packages/decisions/claims.h
+++ b/packages/decisions/claims.h
@@ -78,8 +78,8 @@
   uint64_t incarnation = 0;
   // Minimum time between transactions. A single claim is sent immediately;
   // claims made within the interval share the next transaction.
-  Duration batch_every = std::chrono::milliseconds(10);
-  Duration retry_every = std::chrono::milliseconds(200);
+  Duration batch_interval = std::chrono::milliseconds(10);
+  Duration retry_interval = std::chrono::milliseconds(200);
   // How long after sending a transaction may still take effect. The clean-up
   // of a record is retried until then.
   Duration settle = std::chrono::seconds(5);
@@ -105,9 +105,9 @@
 // to `out`: it executes RunTransaction and GrantLease, passes the replies to
 // OnStoreReply and OnLeaseGranted, and forwards each AnswerClaim to its
 // request.
-class ClaimBook {
+class ClaimManager {
  public:
-  explicit ClaimBook(ClaimOptions options);
+  explicit ClaimManager(ClaimOptions options);
 
   // Claims a request. AnswerClaim follows, possibly in this call.
   void Claim(Instant now, const ClaimRequest& request, ClaimActions& out);
@@ -151,17 +151,17 @@
     std::string token;
     Instant first_sent{};
     Instant last_sent{};
-    Instant last_lost{};  // send time of the last attempt without a reply
+    Instant last_unanswered{};  // send time of the last attempt without a reply
     Instant next_try{};
     bool in_flight = false;
-    bool perhaps_recorded = false;  // an attempt's reply was lost
+    bool may_be_recorded = false;  // an attempt's reply was lost
   };
 
   // A granted claim whose request was neither sent nor withdrawn yet.
   struct Granted {
     std::string key;
     std::string token;
-    Instant last_lost{};
+    Instant last_unanswered{};
     Instant valid_until{};
   };
 
@@ -196,7 +196,7 @@
                const StoreReply& reply,
                ClaimActions& out);
   void OnCleanUp(const std::string& token, const StoreReply& reply);
-  void SettleWrite(Waiting& claim, const StoreReply& reply, ClaimActions& out);
+  void ResolveClaim(Waiting& claim, const StoreReply& reply, ClaimActions& out);
   void Grant(const Waiting& claim);
   void Answer(const std::string& token, ClaimResult result, ClaimActions& out);
   void ExpireDue(Instant now, ClaimActions& out);
@@ -205,10 +205,10 @@
   ClaimCounts counts;
   std::map<std::string, Waiting> waiting;  // by token, oldest first
   std::map<RequestId, Granted> granted;
-  std::map<std::string, CleanUp> clean_ups;  // by token
-  std::map<Duration, SharedLease> leases;    // by window
-  std::map<CallTag, Batch> batches;          // in flight
-  std::map<CallTag, std::string> cleaning;   // in flight
+  std::map<std::string, CleanUp> clean_ups;            // by token
+  std::map<Duration, SharedLease> leases;              // by window
+  std::map<CallTag, Batch> batches;                    // in flight
+  std::map<CallTag, std::string> clean_ups_in_flight;  // in flight
   uint64_t last_token = 0;
   CallTag last_tag = 0;
   Instant next_batch{};
--- a/packages/decisions/configuration_codec.cc
+++ b/packages/decisions/configuration_codec.cc
@@ -17,7 +17,7 @@
 constexpr size_t kMaxNamedChanges = 5;  // in a summary
 constexpr int kMaxFailures = 5;         // consecutive, of reads or of writes
 
-Error Broken(const std::string& what) {
+Error InvalidStoredConfiguration(const std::string& what) {
   return {ErrorKind::kBadSetting,
           "the stored configuration is invalid: " + what,
           {}};
@@ -43,13 +43,13 @@
 
 // Whether a field of any of the changes equals a value.
 template <typename Value>
-bool Remembers(const std::vector<AcceptedChange>& changes,
-               Value AcceptedChange::* field,
-               const Value& value) {
+bool ContainsChange(const std::vector<AcceptedChange>& changes,
+                    Value AcceptedChange::* field,
+                    const Value& value) {
   return std::ranges::find(changes, value, field) != changes.end();
 }
 
-std::map<int, ConfigurationBucket> SpreadRecords(
+std::map<int, ConfigurationBucket> GroupByBucket(
     const Configuration& configuration) {
   std::map<int, ConfigurationBucket> buckets;
   for (Record& record : ListRecords(configuration)) {
@@ -60,7 +60,7 @@
 }
 
 // All faults of a configuration as one error; nullopt if it is valid.
-std::optional<Error> CheckWhole(const Configuration& configuration) {
+std::optional<Error> ValidateConfiguration(const Configuration& configuration) {
   const std::vector<RecordFault> faults = CheckReferences(configuration);
   if (faults.empty()) {
     return std::nullopt;
@@ -123,7 +123,7 @@
   if (!json || !json->At("revision").IsInteger() ||
       buckets.size() != kBucketCount ||
       !std::ranges::all_of(buckets, &Json::IsInteger)) {
-    return tl::unexpected(Broken("head can't be parsed"));
+    return tl::unexpected(InvalidStoredConfiguration("head can't be parsed"));
   }
   ConfigurationHead head{.revision = json->At("revision").Integer()};
   std::ranges::transform(buckets, head.buckets.begin(),
@@ -133,7 +133,8 @@
         return revision >= 0 && revision <= head.revision;
       });
   if (!revisions_valid || head.revision < 1) {
-    return tl::unexpected(Broken("the revisions in head are inconsistent"));
+    return tl::unexpected(
+        InvalidStoredConfiguration("the revisions in head are inconsistent"));
   }
   for (const Json& item : json->At("recent").Items()) {
     head.recent.push_back({.revision = item.At("revision").Integer(),
@@ -164,19 +165,21 @@
   const auto json = Json::Parse(text);
   if (!json || !json->At("revision").IsInteger() ||
       !json->At("records").IsObject()) {
-    return tl::unexpected(Broken("a bucket can't be parsed"));
+    return tl::unexpected(
+        InvalidStoredConfiguration("a bucket can't be parsed"));
   }
   ConfigurationBucket bucket{.revision = json->At("revision").Integer()};
   const Json records = json->At("records");
   for (const std::string& name : records.Names()) {
     auto record = RecordFromName(name);
     if (!record) {
-      return tl::unexpected(Broken(record.error().message));
+      return tl::unexpected(InvalidStoredConfiguration(record.error().message));
     }
     const Json fields = records.At(name);
     for (const std::string& field : fields.Names()) {
       if (!fields.At(field).IsText()) {
-        return tl::unexpected(Broken(name + ": " + field + " is not a string"));
+        return tl::unexpected(InvalidStoredConfiguration(name + ": " + field +
+                                                         " is not a string"));
       }
       record->fields[field] = fields.At(field).Text();
     }
@@ -204,16 +207,16 @@
     }
     for (const Record& record : found->second.records) {
       if (BucketOfRecord(record.Name()) != i) {
-        return tl::unexpected(
-            Broken(record.Name() + " is in the wrong bucket"));
+        return tl::unexpected(InvalidStoredConfiguration(
+            record.Name() + " is in the wrong bucket"));
       }
       if (const auto put = PutRecord(configuration, record); !put) {
-        return tl::unexpected(Broken(put.error().message));
+        return tl::unexpected(InvalidStoredConfiguration(put.error().message));
       }
     }
   }
-  if (auto fault = CheckWhole(configuration)) {
-    return tl::unexpected(Broken(fault->message));
+  if (auto fault = ValidateConfiguration(configuration)) {
+    return tl::unexpected(InvalidStoredConfiguration(fault->message));
   }
   return std::make_shared<const Configuration>(std::move(configuration));
 }
@@ -255,7 +258,7 @@
     const Configuration& wanted,
     const ChangeAuthor& author) {
   assert(!author.token.empty() && "a lost reply is read back by its token");
-  if (auto fault = CheckWhole(wanted)) {
+  if (auto fault = ValidateConfiguration(wanted)) {
     return tl::unexpected(*fault);
   }
   ConfigurationHead head = current.head;
@@ -266,14 +269,14 @@
                       .author = author.name,
                       .summary = Summarise(
                           DiffConfigurations(*current.configuration, wanted))});
-  head.recent.resize(std::min(head.recent.size(), kRememberedChanges));
+  head.recent.resize(std::min(head.recent.size(), kMaxRecentChanges));
   StoreTransaction transaction{
       .conditions = {{.key = kHeadKey,
                       .field = StoreCompare::Field::kModRevision,
                       .revision = current.head_mod_revision}},
       .otherwise = ReadConfigurationTransaction().then};
-  auto before = SpreadRecords(*current.configuration);
-  auto after = SpreadRecords(wanted);
+  auto before = GroupByBucket(*current.configuration);
+  auto after = GroupByBucket(wanted);
   for (int i = 0; i < kBucketCount; ++i) {
     if (before[i].records == after[i].records) {
       continue;
@@ -283,7 +286,7 @@
     transaction.then.push_back({.kind = StoreOperation::Kind::kPut,
                                 .key = BucketKey(i),
                                 .value = WriteBucket(after[i])});
-    if (transaction.then.back().value.size() > kMaxStoredValue) {
+    if (transaction.then.back().value.size() > kMaxStoredValueBytes) {
       return Fail(ErrorKind::kTooLarge,
                   "a bucket of the configuration exceeds the value size limit");
     }
@@ -305,7 +308,7 @@
     const StoreReply& reply) {
   assert(this->phase != Phase::kDone && "the change has already ended");
   return this->phase == Phase::kReading ? this->Write(reply)
-                                        : this->StepAfter(reply);
+                                        : this->OnWriteReply(reply);
 }
 
 ConfigurationChange::Step ConfigurationChange::Write(const StoreReply& reply) {
@@ -343,13 +346,13 @@
   return this->transaction;
 }
 
-ConfigurationChange::Step ConfigurationChange::StepAfter(
+ConfigurationChange::Step ConfigurationChange::OnWriteReply(
     const StoreReply& reply) {
   if (reply.outcome == StoreOutcome::kThen) {
     return this->Finish(this->applied);
   }
   if (reply.outcome == StoreOutcome::kOtherwise) {
-    return this->Finish(this->Conclude(reply));
+    return this->Finish(this->ResolveConflict(reply));
   }
   this->in_doubt |= reply.outcome == StoreOutcome::kUnknown;
   if (++this->failures < kMaxFailures) {
@@ -368,14 +371,14 @@
 // The result of a write whose condition failed, as head had changed. The new
 // head may contain this very change, if an earlier attempt took effect and its
 // reply was lost; other changes may have followed since.
-Result<ConfigurationChange::Applied> ConfigurationChange::Conclude(
+Result<ConfigurationChange::Applied> ConfigurationChange::ResolveConflict(
     const StoreReply& reply) const {
   const auto stored = ReadStoredConfiguration(reply);
   if (!stored) {
     return tl::unexpected(stored.error());
   }
   const auto& recent = stored->head.recent;
-  if (Remembers(recent, &AcceptedChange::token, this->author.token)) {
+  if (ContainsChange(recent, &AcceptedChange::token, this->author.token)) {
     return this->applied;
   }
   // If head still lists the change that this one was based on, it also lists
@@ -383,7 +386,7 @@
   const auto& before = this->base.head.recent;
   const bool history_complete =
       before.empty() ||
-      Remembers(recent, &AcceptedChange::token, before.front().token);
+      ContainsChange(recent, &AcceptedChange::token, before.front().token);
   if (this->in_doubt && !history_complete &&
       stored->head.revision > this->base.head.revision) {
     return Fail(ErrorKind::kOutcomeUnknown,
--- a/packages/decisions/configuration_codec.h
+++ b/packages/decisions/configuration_codec.h
@@ -38,7 +38,7 @@
 
 // Maximum size of a stored value in bytes. The service's limit is higher by its
 // framing.
-inline constexpr size_t kMaxStoredValue = 1'000'000;
+inline constexpr size_t kMaxStoredValueBytes = 1'000'000;
 
 // /hickorystand/config/bucket/NN
 std::string BucketKey(int bucket);
@@ -62,7 +62,7 @@
 // How many accepted changes head lists. A writer whose reply was lost looks for
 // its change among them, so the number exceeds the changes that can be accepted
 // while one write is being retried.
-inline constexpr size_t kRememberedChanges = 32;
+inline constexpr size_t kMaxRecentChanges = 32;
 
 // The content of head.
 struct ConfigurationHead {
@@ -176,8 +176,8 @@
   enum class Phase { kReading, kWriting, kDone };
 
   Step Write(const StoreReply& reply);
-  Step StepAfter(const StoreReply& reply);
-  Result<Applied> Conclude(const StoreReply& reply) const;
+  Step OnWriteReply(const StoreReply& reply);
+  Result<Applied> ResolveConflict(const StoreReply& reply) const;
   Step Finish(Result<Applied> result);
 
   ChangeAuthor author;
--- a/packages/decisions/configuration_records.cc
+++ b/packages/decisions/configuration_records.cc
@@ -20,7 +20,7 @@
 namespace {
 
 constexpr size_t kMaxId = 64;
-constexpr size_t kHashLength = 64;  // SHA-256 in hex
+constexpr size_t kHashHexLength = 64;  // SHA-256 in hex
 constexpr int64_t kMaxEndpointsOfService = 10000;
 constexpr int64_t kMaxContextTokens = 10'000'000;
 constexpr double kMaxRate = 1e9;    // of an account, units per second
@@ -55,7 +55,7 @@
 }
 
 template <typename Number>
-bool ReadWithin(const std::string& text, Limits limits, Number& value) {
+bool ReadInRange(const std::string& text, Limits limits, Number& value) {
   Number number{};
   const bool valid = ReadNumber(text, number) &&
                      std::isfinite(static_cast<double>(number)) &&
@@ -66,7 +66,7 @@
 }
 
 bool Read(const std::string& text, Limits limits, double& value) {
-  return ReadWithin(text, limits, value);
+  return ReadInRange(text, limits, value);
 }
 std::string Write(double value) {
   return NumberText(value);
@@ -77,7 +77,7 @@
 }
 
 bool Read(const std::string& text, Limits limits, int64_t& value) {
-  return ReadWithin(text, limits, value);
+  return ReadInRange(text, limits, value);
 }
 std::string Write(int64_t value) {
   return std::to_string(value);
@@ -261,7 +261,7 @@
 struct FieldOptions {
   Limits limits;
   bool required = false;
-  bool site_differs = false;
+  bool site_overridable = false;
 };
 
 template <typename T, typename Value>
@@ -275,7 +275,7 @@
                      .fallback = options.required ? "" : Write(initial.*member),
                      .help = help,
                      .required = options.required,
-                     .site_differs = options.site_differs},
+                     .site_overridable = options.site_overridable},
           .read = [member, limits = options.limits](
                       const std::string& text,
                       T& record) { return Read(text, limits, record.*member); },
@@ -350,7 +350,7 @@
       MakeField("cut_off_key_limit", &Site::cut_off_key_limit,
                 "How long keys stay valid in a data centre that can hear of "
                 "no newer configuration.",
-                {.limits = {60, 30.0 * 24 * 3600}, .site_differs = true}),
+                {.limits = {60, 30.0 * 24 * 3600}, .site_overridable = true}),
   };
   return kFields;
 }
@@ -358,24 +358,24 @@
 const std::vector<Field<Endpoint>>& FieldsOf(const Endpoint*) {
   static const std::vector<Field<Endpoint>> kFields = {
       MakeField("service", &Endpoint::service, "The service that it runs.",
-                {.required = true, .site_differs = true}),
+                {.required = true, .site_overridable = true}),
       MakeField("data_centre", &Endpoint::data_centre,
                 "The data centre where it stands.",
-                {.required = true, .site_differs = true}),
+                {.required = true, .site_overridable = true}),
       MakeField("address", &Endpoint::address, "Where it listens.",
-                {.required = true, .site_differs = true}),
+                {.required = true, .site_overridable = true}),
       MakeField("zone", &Endpoint::zone,
                 "What fails together; endpoints of one zone can vanish at "
                 "once.",
-                {.required = true, .site_differs = true}),
+                {.required = true, .site_overridable = true}),
       MakeField("role", &Endpoint::role, "The work that it starts with.",
-                {.site_differs = true}),
+                {.site_overridable = true}),
       MakeField("cheap", &Endpoint::cheap,
                 "Whether it may be reclaimed at any moment.",
-                {.site_differs = true}),
+                {.site_overridable = true}),
       MakeField("cost_per_hour", &Endpoint::cost_per_hour,
                 "What an hour of it costs, in any one unit.",
-                {.limits = {0, 1'000'000}, .site_differs = true}),
+                {.limits = {0, 1'000'000}, .site_overridable = true}),
   };
   return kFields;
 }
@@ -394,7 +394,8 @@
   std::function<void(const Configuration&, std::vector<Record>&)> list;
 };
 
-std::string WrongText(const std::string& text, const std::string& allowed) {
+std::string InvalidValueMessage(const std::string& text,
+                                const std::string& allowed) {
   return "'" + text + "' is not allowed; " + allowed + " is";
 }
 
@@ -412,7 +413,7 @@
     } else if (!field.read(entry->second, value)) {
       return Fail(ErrorKind::kBadSetting,
                   record.Name() + ": " + field.schema.name + ": " +
-                      WrongText(entry->second, field.schema.allowed));
+                      InvalidValueMessage(entry->second, field.schema.allowed));
     }
   }
   return value;
@@ -432,8 +433,9 @@
         fields, [&](const auto& known) { return known.schema.name == field; });
     assert(found != fields.end() && "the schema has no such field");
     T scratch{};
-    return found->read(text, scratch) ? ""
-                                      : WrongText(text, found->schema.allowed);
+    return found->read(text, scratch)
+               ? ""
+               : InvalidValueMessage(text, found->schema.allowed);
   };
   kind.put = [records, id](Configuration& configuration,
                            const Record& record) -> Result<bool> {
@@ -468,7 +470,7 @@
   return kind;
 }
 
-const std::vector<Kind>& Kinds() {
+const std::vector<Kind>& RecordKinds() {
   static const std::vector<Kind> kKinds = {
       MakeKind("account", "A client account.", &Configuration::accounts,
                &Account::id),
@@ -484,9 +486,10 @@
 }
 
 const Kind* FindKind(std::string_view name) {
-  const auto found = std::ranges::find_if(
-      Kinds(), [&](const Kind& kind) { return kind.schema.kind == name; });
-  return found == Kinds().end() ? nullptr : &*found;
+  const auto found = std::ranges::find_if(RecordKinds(), [&](const Kind& kind) {
+    return kind.schema.kind == name;
+  });
+  return found == RecordKinds().end() ? nullptr : &*found;
 }
 
 }  // namespace
@@ -499,7 +502,8 @@
 std::span<const RecordSchema> AllRecordSchemas() {
   static const std::vector<RecordSchema> kSchemas = [] {
     std::vector<RecordSchema> all;
-    std::ranges::transform(Kinds(), std::back_inserter(all), &Kind::schema);
+    std::ranges::transform(RecordKinds(), std::back_inserter(all),
+                           &Kind::schema);
     return all;
   }();
   return kSchemas;
@@ -546,12 +550,14 @@
 std::string CheckId(std::string_view kind, std::string_view id) {
   if (kind == "key") {
     const bool valid =
-        id.size() == kHashLength && std::ranges::all_of(id, [](char c) {
+        id.size() == kHashHexLength && std::ranges::all_of(id, [](char c) {
           return g_ascii_isdigit(c) || (c >= 'a' && c <= 'f');
         });
     return valid ? "" : "the id of a key is its SHA-256 in lower-case hex";
   }
-  return IsId(id) ? "" : WrongText(std::string(id), Allowed({}, AccountId()));
+  return IsId(id)
+             ? ""
+             : InvalidValueMessage(std::string(id), Allowed({}, AccountId()));
 }
 
 std::string CheckField(std::string_view kind,
@@ -564,7 +570,7 @@
 
 std::vector<Record> ListRecords(const Configuration& configuration) {
   std::vector<Record> records;
-  for (const Kind& kind : Kinds()) {
+  for (const Kind& kind : RecordKinds()) {
     kind.list(configuration, records);
   }
   std::ranges::sort(records, {}, &Record::Name);
--- a/packages/decisions/configuration_records.h
+++ b/packages/decisions/configuration_records.h
@@ -31,7 +31,7 @@
   std::string fallback;  // default, as text; empty if required
   std::string help;      // one sentence
   bool required = false;
-  bool site_differs = false;  // a site's overlay may set it
+  bool site_overridable = false;  // a site's overlay may set it
 
   bool operator==(const FieldSchema&) const = default;
 };
--- a/packages/decisions/configuration_replica.cc
+++ b/packages/decisions/configuration_replica.cc
@@ -17,11 +17,11 @@
 
 // The client of the service replies within its own, shorter timeout. A reply
 // that is missing for this long was lost between the client and the replica.
-constexpr Duration kReadLost = std::chrono::seconds(15);
+constexpr Duration kReadTimeout = std::chrono::seconds(15);
 
 // How long to wait for the missing buckets of a change before the whole state
 // is read.
-constexpr Duration kPartsTimeout = std::chrono::milliseconds(300);
+constexpr Duration kPartialStateTimeout = std::chrono::milliseconds(300);
 
 void Append(ReplicaActions& to, ReplicaActions more) {
   std::ranges::move(more, std::back_inserter(to));
@@ -53,7 +53,7 @@
                                                 const StoreReply& reply) {
   this->reading_head = false;
   if (reply.outcome != StoreOutcome::kThen) {
-    this->NoteReadFailed(now);
+    this->OnReadFailed(now);
     return {};
   }
   this->backoff.Reset();
@@ -61,7 +61,7 @@
   const auto read_head =
       record == nullptr ? Result<ConfigurationHead>() : ReadHead(record->value);
   if (!read_head) {
-    this->IgnoreBroken(now, read_head.error());
+    this->IgnoreInvalid(now, read_head.error());
     return {};
   }
   if (this->IsInForce(*read_head)) {
@@ -72,18 +72,18 @@
     this->IgnoreLower(now, read_head->revision);
     return {};
   }
-  return this->Catch(now);
+  return this->StartCatchUp(now);
 }
 
 ReplicaActions ConfigurationReplica::OnStateRead(Instant now,
                                                  const StoreReply& reply) {
   this->reading_all = false;
   if (reply.outcome != StoreOutcome::kThen) {
-    this->NoteReadFailed(now);
+    this->OnReadFailed(now);
     return {};
   }
   this->backoff.Reset();
-  this->next_read.reset();
+  this->next_full_read.reset();
   ReplicaActions actions;
   this->staged = {};
   const bool parsed =
@@ -91,9 +91,9 @@
         return this->Stage(record.key, record.value);
       });
   if (!parsed) {
-    this->IgnoreBroken(now,
-                       {ErrorKind::kBadSetting, "a value can't be parsed", {}});
-    this->next_read = now + kLongestRetry;
+    this->IgnoreInvalid(
+        now, {ErrorKind::kBadSetting, "a value can't be parsed", {}});
+    this->next_full_read = now + kLongestRetry;
   } else {
     if (this->IsInForce(this->staged.head)) {
       this->confirmed_at = now;
@@ -123,7 +123,7 @@
   ++this->counts.watches_lost;
   // A restart of the service ends many watches at once; backoff with jitter
   // keeps the hosts from reconnecting all at the same time.
-  this->next_read = now + this->backoff.Next();
+  this->next_full_read = now + this->backoff.Next();
   return {};
 }
 
@@ -131,7 +131,8 @@
                                                     const HostId& peer,
                                                     int64_t revision) {
   this->peers[peer] = revision;
-  return revision > this->head.revision ? this->Catch(now) : ReplicaActions{};
+  return revision > this->head.revision ? this->StartCatchUp(now)
+                                        : ReplicaActions{};
 }
 
 ReplicaActions ConfigurationReplica::OnPeerValues(
@@ -140,10 +141,10 @@
     const std::vector<ReplicaValue>& values) {
   for (const ReplicaValue& value : values) {
     if (!this->Stage(value.key, value.text)) {
-      this->IgnoreBroken(now,
-                         {ErrorKind::kBadSetting,
-                          "a value from " + peer.Text() + " can't be parsed",
-                          {}});
+      this->IgnoreInvalid(now,
+                          {ErrorKind::kBadSetting,
+                           "a value from " + peer.Text() + " can't be parsed",
+                           {}});
       return {};
     }
   }
@@ -160,24 +161,25 @@
     // Delay the first read, so that peers can report their revisions first.
     // Otherwise all hosts of a restarting data centre would read the whole
     // state at once.
-    this->next_read = this->next_read.value_or(now + this->backoff.Next());
+    this->next_full_read =
+        this->next_full_read.value_or(now + this->backoff.Next());
   }
   if ((this->reading_all || this->reading_head) &&
-      now - this->read_started > kReadLost) {
+      now - this->read_started > kReadTimeout) {
     this->reading_all = this->reading_head = false;
-    this->NoteReadFailed(now);
+    this->OnReadFailed(now);
   }
-  if (!this->fetching.Empty() && now >= this->fetch_deadline) {
-    ++this->counts.peers_silent;
-    this->tried.push_back(std::exchange(this->fetching, HostId()));
-    Append(actions, this->FetchNext(now));
+  if (!this->fetching_from.Empty() && now >= this->fetch_deadline) {
+    ++this->counts.peer_timeouts;
+    this->tried.push_back(std::exchange(this->fetching_from, HostId()));
+    Append(actions, this->FetchFromNextPeer(now));
   }
-  const bool due = this->next_read && now >= *this->next_read;
-  if (due && this->fetching.Empty()) {
+  const bool due = this->next_full_read && now >= *this->next_full_read;
+  if (due && this->fetching_from.Empty()) {
     Append(actions, this->ReadAll(now));
   }
   if (now >= this->next_confirm && this->in_force && !this->reading_head &&
-      !this->reading_all && this->options.ask_service) {
+      !this->reading_all && this->options.read_service) {
     this->reading_head = true;
     this->read_started = now;
     this->next_confirm = now + this->ConfirmPeriod();
@@ -206,7 +208,7 @@
 }
 
 bool ConfigurationReplica::KeysTrusted(Instant now) const {
-  return this->confirmed_at && now - *this->confirmed_at <= this->KeyLimit();
+  return this->confirmed_at && now - *this->confirmed_at <= this->KeyValidity();
 }
 
 // Keeps one value until the state is complete; false if it can't be parsed.
@@ -217,7 +219,7 @@
     auto read = ReadHead(text);
     const bool newer = read && (this->staged.head.revision == 0 ||
                                 read->revision >= this->staged.head.revision ||
-                                !this->options.refuse_lower);
+                                !this->options.reject_lower);
     if (newer) {
       this->staged.head = std::move(*read);
       this->staged.head_text = text;
@@ -250,7 +252,7 @@
   const ConfigurationHead& next = this->staged.head;
   const bool same = this->IsInForce(next);
   if (same ||
-      (next.revision <= this->head.revision && this->options.refuse_lower)) {
+      (next.revision <= this->head.revision && this->options.reject_lower)) {
     if (!same) {
       this->IgnoreLower(now, next.revision);
     }
@@ -259,7 +261,7 @@
   }
   auto merged = this->staged.buckets;
   const bool continues =
-      !this->options.compare_history || this->Continues(next);
+      !this->options.check_history || this->ContinuesHistory(next);
   if (continues) {
     merged.insert(this->buckets.begin(), this->buckets.end());
   }
@@ -268,27 +270,28 @@
     return this->Accept(now, std::move(*assembled));
   }
   if (assembled.error().kind != ErrorKind::kStale) {
-    this->IgnoreBroken(now, assembled.error());
+    this->IgnoreInvalid(now, assembled.error());
     this->staged = {};
     return {};
   }
-  if (!continues && !std::exchange(this->fetch_whole, true)) {
+  if (!continues && !std::exchange(this->fetch_all, true)) {
     ++this->counts.forks_seen;
-    this->fetching = {};
-    return this->Catch(now);
+    this->fetching_from = {};
+    return this->StartCatchUp(now);
   }
-  this->next_read = std::min(this->next_read.value_or(now + kPartsTimeout),
-                             now + kPartsTimeout);
+  this->next_full_read =
+      std::min(this->next_full_read.value_or(now + kPartialStateTimeout),
+               now + kPartialStateTimeout);
   return {};
 }
 
 ReplicaActions ConfigurationReplica::Accept(Instant now,
                                             ConfigurationPtr next) {
   assert(
-      (!this->options.refuse_lower || next->revision > this->head.revision) &&
+      (!this->options.reject_lower || next->revision > this->head.revision) &&
       "the revision in force never decreases");
   const bool continues =
-      !this->options.compare_history || this->Continues(this->staged.head);
+      !this->options.check_history || this->ContinuesHistory(this->staged.head);
   if (!continues) {
     this->buckets.clear();
     this->texts.clear();
@@ -305,11 +308,11 @@
   // has more recent information from the service than this host had.
   this->confirmed_at = now;
   this->next_confirm = now + this->ConfirmPeriod();
-  this->fetching = {};
-  this->fetch_whole = false;
+  this->fetching_from = {};
+  this->fetch_all = false;
   this->tried.clear();
   if (!this->watches || this->watch_open) {
-    this->next_read.reset();
+    this->next_full_read.reset();
   }
   LogInfo(kPart, "Configuration revision is in force.",
           {{"revision", std::to_string(this->head.revision)}});
@@ -320,7 +323,8 @@
 // the service was restored from a backup and changed again, revision numbers
 // are reused with other contents. Buckets of the two histories must not be
 // mixed, even where their revisions match.
-bool ConfigurationReplica::Continues(const ConfigurationHead& next) const {
+bool ConfigurationReplica::ContinuesHistory(
+    const ConfigurationHead& next) const {
   if (this->head.revision == 0) {
     return true;
   }
@@ -346,8 +350,8 @@
   }
 }
 
-void ConfigurationReplica::IgnoreBroken(Instant now, const Error& error) {
-  ++this->counts.broken_ignored;
+void ConfigurationReplica::IgnoreInvalid(Instant now, const Error& error) {
+  ++this->counts.invalid_ignored;
   if (this->limiter.Allow(now)) {
     LogError(kPart, "Ignored an invalid configuration.",
              {{"error", error.message}});
@@ -355,17 +359,17 @@
 }
 
 // Starts obtaining a newer revision, unless a fetch or a read is pending.
-ReplicaActions ConfigurationReplica::Catch(Instant now) {
-  if (!this->fetching.Empty() || this->reading_all) {
+ReplicaActions ConfigurationReplica::StartCatchUp(Instant now) {
+  if (!this->fetching_from.Empty() || this->reading_all) {
     return {};
   }
   this->tried.clear();
-  return this->FetchNext(now);
+  return this->FetchFromNextPeer(now);
 }
 
 // Fetches from the next untried peer with the newest revision above the one in
 // force; reads the service if none is left or peer_tries is used up.
-ReplicaActions ConfigurationReplica::FetchNext(Instant now) {
+ReplicaActions ConfigurationReplica::FetchFromNextPeer(Instant now) {
   int64_t newest = this->head.revision + 1;
   std::vector<HostId> candidates;
   for (const auto& [peer, revision] : this->peers) {
@@ -386,16 +390,16 @@
   }
   // Chosen at random, so that not all hosts fetch from the same peer at once.
   std::uniform_int_distribution<size_t> pick(0, candidates.size() - 1);
-  this->fetching = candidates[pick(this->random)];
+  this->fetching_from = candidates[pick(this->random)];
   this->fetch_deadline = now + this->options.peer_timeout;
   return {{.kind = Kind::kFetch,
-           .peer = this->fetching,
-           .above_revision = this->fetch_whole ? 0 : this->head.revision}};
+           .peer = this->fetching_from,
+           .above_revision = this->fetch_all ? 0 : this->head.revision}};
 }
 
 ReplicaActions ConfigurationReplica::ReadAll(Instant now) {
-  this->next_read.reset();
-  if (this->reading_all || !this->options.ask_service) {
+  this->next_full_read.reset();
+  if (this->reading_all || !this->options.read_service) {
     return {};
   }
   this->reading_all = true;
@@ -403,7 +407,7 @@
   return {{.kind = Kind::kReadAll}};
 }
 
-void ConfigurationReplica::NoteReadFailed(Instant now) {
+void ConfigurationReplica::OnReadFailed(Instant now) {
   ++this->counts.reads_failed;
   const Duration retry_delay = this->backoff.Next();
   const bool needed = !this->in_force || (this->watches && !this->watch_open) ||
@@ -411,12 +415,12 @@
                         return peer.second > this->head.revision;
                       });
   if (needed) {
-    this->next_read = now + retry_delay;
+    this->next_full_read = now + retry_delay;
   }
   this->next_confirm = std::max(this->next_confirm, now + retry_delay);
 }
 
-Duration ConfigurationReplica::KeyLimit() const {
+Duration ConfigurationReplica::KeyValidity() const {
   if (!this->in_force) {
     return Duration::zero();
   }
@@ -430,9 +434,9 @@
   if (this->watches) {
     return this->options.confirm_period;
   }
-  return std::clamp(this->KeyLimit() / kConfirmsPerLimit,
+  return std::clamp(this->KeyValidity() / kConfirmsPerLimit,
                     this->options.confirm_period,
-                    this->options.longest_confirm_period);
+                    this->options.max_confirm_period);
 }
 
 }  // namespace hickorystand
--- a/packages/decisions/configuration_replica.h
+++ b/packages/decisions/configuration_replica.h
@@ -44,12 +44,12 @@
   Duration confirm_period = std::chrono::seconds(5);
   // Upper bound of that period for hosts that don't watch: they use an eighth
   // of the site's cut_off_key_limit, clamped to confirm_period and this bound.
-  Duration longest_confirm_period = std::chrono::minutes(5);
+  Duration max_confirm_period = std::chrono::minutes(5);
 
   // Switches for tests; each disables one mechanism.
-  bool refuse_lower = true;     // false: accepts any complete state
-  bool compare_history = true;  // false: mixes in buckets of a fork
-  bool ask_service = true;      // false: reads from peers only
+  bool reject_lower = true;   // false: accepts any complete state
+  bool check_history = true;  // false: mixes in buckets of a fork
+  bool read_service = true;   // false: reads from peers only
 };
 
 // One value as stored in the key-value service, with the configuration revision
@@ -86,11 +86,11 @@
 
 // Counts of rejected states and failures, for metrics.
 struct ReplicaCounts {
-  int64_t lower_ignored = 0;   // heads not above the one in force
-  int64_t broken_ignored = 0;  // states that don't parse or validate
-  int64_t forks_seen = 0;      // heads of another history than the one in force
-  int64_t reads_failed = 0;    // of the service
-  int64_t peers_silent = 0;    // fetches that timed out
+  int64_t lower_ignored = 0;    // heads not above the one in force
+  int64_t invalid_ignored = 0;  // states that don't parse or validate
+  int64_t forks_seen = 0;     // heads of another history than the one in force
+  int64_t reads_failed = 0;   // of the service
+  int64_t peer_timeouts = 0;  // fetches that timed out
   int64_t watches_lost = 0;
 
   auto operator<=>(const ReplicaCounts&) const = default;
@@ -160,15 +160,15 @@
   bool Stage(const std::string& key, const std::string& text);
   ReplicaActions TryAccept(Instant now);
   ReplicaActions Accept(Instant now, ConfigurationPtr next);
-  bool Continues(const ConfigurationHead& next) const;
+  bool ContinuesHistory(const ConfigurationHead& next) const;
   bool IsInForce(const ConfigurationHead& other) const;
   void IgnoreLower(Instant now, int64_t revision);
-  void IgnoreBroken(Instant now, const Error& error);
-  ReplicaActions Catch(Instant now);
-  ReplicaActions FetchNext(Instant now);
+  void IgnoreInvalid(Instant now, const Error& error);
+  ReplicaActions StartCatchUp(Instant now);
+  ReplicaActions FetchFromNextPeer(Instant now);
   ReplicaActions ReadAll(Instant now);
-  void NoteReadFailed(Instant now);
-  Duration KeyLimit() const;
+  void OnReadFailed(Instant now);
+  Duration KeyValidity() const;
   Duration ConfirmPeriod() const;
 
   ReplicaOptions options;
@@ -188,8 +188,8 @@
   // State being received, and the fetch from a peer.
   Staged staged;
   std::map<HostId, int64_t> peers;  // by peer: the revision in force there
-  HostId fetching;                  // peer of the pending fetch; empty: none
-  bool fetch_whole = false;         // fetch from revision 0, after a fork
+  HostId fetching_from;             // peer of the pending fetch; empty: none
+  bool fetch_all = false;           // fetch from revision 0, after a fork
   Instant fetch_deadline{};
   std::vector<HostId> tried;  // peers that timed out in this round
 
@@ -200,7 +200,7 @@
   bool reading_head = false;
   Instant read_started{};
   bool started = false;
-  std::optional<Instant> next_read;  // next read of the whole state
+  std::optional<Instant> next_full_read;  // next read of the whole state
   Instant next_confirm{};
 };
 
--- a/packages/decisions/coordinator.cc
+++ b/packages/decisions/coordinator.cc
@@ -15,7 +15,7 @@
 constexpr size_t kMaxArgumentBytes = 256;
 // The coordinator ends a source after `usage_retention`. The other hosts keep
 // it longer, so that the host that closes the next windows still has it.
-constexpr int64_t kForgetFactor = 2;
+constexpr int64_t kUsageRetentionFactor = 2;
 
 int64_t TotalOf(const AccountUsage& counts) {
   return std::accumulate(counts.begin(), counts.end(), int64_t{0},
@@ -93,7 +93,7 @@
   this->TickLease(now, out);
   std::vector<LeaseAction> lease_actions;
   if (this->lease.OnStoreReply(now, tag, reply, lease_actions)) {
-    this->FollowLease(now, lease_actions, out);
+    this->ApplyLeaseActions(now, lease_actions, out);
   } else if (this->call && this->call->tag == tag) {
     const Call::Handler handler = this->call->handler;
     this->call.reset();
@@ -109,7 +109,7 @@
   this->TickLease(now, out);
   std::vector<LeaseAction> lease_actions;
   this->lease.OnLeaseGranted(now, tag, lease, lease_actions);
-  this->FollowLease(now, lease_actions, out);
+  this->ApplyLeaseActions(now, lease_actions, out);
 }
 
 void Coordinator::OnLeaseRenewed(Instant now,
@@ -119,7 +119,7 @@
   this->TickLease(now, out);
   std::vector<LeaseAction> lease_actions;
   this->lease.OnLeaseRenewed(now, tag, remaining, lease_actions);
-  this->FollowLease(now, lease_actions, out);
+  this->ApplyLeaseActions(now, lease_actions, out);
 }
 
 void Coordinator::OnOrderReply(Instant now,
@@ -256,7 +256,7 @@
     std::vector<LeaseAction> lease_actions;
     this->lease.Retire(lease_actions);
     this->phase = Phase::kReleased;
-    this->FollowLease(now, lease_actions, out);
+    this->ApplyLeaseActions(now, lease_actions, out);
   }
   if (this->retry != nullptr && !this->call && now >= this->retry_at) {
     (this->*std::exchange(this->retry, nullptr))(now, out);
@@ -283,12 +283,13 @@
 void Coordinator::TickLease(Instant now, CoordinatorActions& out) {
   std::vector<LeaseAction> lease_actions;
   this->lease.OnTick(now, lease_actions);
-  this->FollowLease(now, lease_actions, out);
+  this->ApplyLeaseActions(now, lease_actions, out);
 }
 
-void Coordinator::FollowLease(Instant now,
-                              const std::vector<LeaseAction>& lease_actions,
-                              CoordinatorActions& out) {
+void Coordinator::ApplyLeaseActions(
+    Instant now,
+    const std::vector<LeaseAction>& lease_actions,
+    CoordinatorActions& out) {
   std::ranges::for_each(lease_actions, [&out](const LeaseAction& action) {
     std::visit([&out](const auto& each) { out.emplace_back(each); }, action);
   });
@@ -331,7 +332,7 @@
 
 void Coordinator::Announce(Instant now, CoordinatorActions& out) {
   if (this->last_release && now >= this->next_announcement) {
-    out.emplace_back(TellReleased{.release = *this->last_release});
+    out.emplace_back(SendReleaseNotice{.release = *this->last_release});
     this->next_announcement = now + this->options.announce_every;
   }
 }
@@ -468,7 +469,7 @@
   }
   const auto unlisted = this->left.find(holder);
   return unlisted != this->left.end() &&
-         now - unlisted->second >= this->options.unlisted_for;
+         now - unlisted->second >= this->options.unlisted_timeout;
 }
 
 // Records when each source's counters last grew, and drops sources that ended
@@ -484,9 +485,9 @@
   std::ranges::for_each(this->ledger.Sources(), update_age);
   std::ranges::for_each(this->last_window.counted, update_age);
   std::erase_if(this->ages, [this, now](const auto& entry) {
-    const bool expired =
-        now - entry.second.since >= kForgetFactor * this->options.forget_after;
-    if (expired && this->SourceIsOver(now, entry.first)) {
+    const bool expired = now - entry.second.since >=
+                         kUsageRetentionFactor * this->options.usage_retention;
+    if (expired && this->SourceEnded(now, entry.first)) {
       this->ledger.Forget(entry.first);
       return true;
     }
@@ -496,13 +497,13 @@
 
 // Whether a source's process is gone and its counters haven't grown for
 // `usage_retention`.
-bool Coordinator::SourceIsOver(Instant now, const UsageSource& source) const {
+bool Coordinator::SourceEnded(Instant now, const UsageSource& source) const {
   const auto age = this->ages.find(source);
   const auto latest = this->incarnations.find(source.host);
   const bool superseded =
       latest != this->incarnations.end() && latest->second > source.incarnation;
   return age != this->ages.end() &&
-         now - age->second.since >= this->options.forget_after &&
+         now - age->second.since >= this->options.usage_retention &&
          (superseded || !this->listed.contains(source.host));
 }
 
--- a/packages/decisions/coordinator.h
+++ b/packages/decisions/coordinator.h
@@ -95,10 +95,10 @@
 
 // Sends a release notice to every host of the data centre. Repeated every
 // `announce_every`, as it may be lost.
-struct TellReleased {
+struct SendReleaseNotice {
   Release release;
 
-  bool operator==(const TellReleased&) const = default;
+  bool operator==(const SendReleaseNotice&) const = default;
 };
 
 using CoordinatorAction = std::variant<RunTransaction,
@@ -108,7 +108,7 @@
                                        SendOrder,
                                        SendEndpointOrder,
                                        SendUsageReport,
-                                       TellReleased>;
+                                       SendReleaseNotice>;
 using CoordinatorActions = std::vector<CoordinatorAction>;
 
 // The outcome of sending an order.
@@ -148,7 +148,7 @@
   Duration release_grace = std::chrono::seconds(2);
   // How long a host must be missing from the platform's list before it counts
   // as gone. Covers the list's lag, also for a host that has just joined.
-  Duration unlisted_for = std::chrono::seconds(30);
+  Duration unlisted_timeout = std::chrono::seconds(30);
   Duration call_timeout = std::chrono::seconds(5);
   int64_t max_orders = 1024;           // open at once; about 300 bytes each
   int64_t max_windows = 1000;          // closed and not reported
@@ -156,7 +156,7 @@
   int64_t kept_windows = 60;           // reported ones that stay readable
   // How long a source's counters must have been unchanged, and its process be
   // gone, before they are dropped. Well above the length of any partition.
-  Duration forget_after = std::chrono::hours(1);
+  Duration usage_retention = std::chrono::hours(1);
 
   // False only in mutation tests, which show that each mechanism is needed.
   bool write_intent_first = true;   // record an order before it is sent
@@ -309,9 +309,9 @@
 
   void Drive(Instant now, CoordinatorActions& out);
   void TickLease(Instant now, CoordinatorActions& out);
-  void FollowLease(Instant now,
-                   const std::vector<LeaseAction>& lease_actions,
-                   CoordinatorActions& out);
+  void ApplyLeaseActions(Instant now,
+                         const std::vector<LeaseAction>& lease_actions,
+                         CoordinatorActions& out);
   void Begin(Instant now, CoordinatorActions& out);
   void End(Instant now, CoordinatorActions& out);
   void Announce(Instant now, CoordinatorActions& out);
@@ -334,14 +334,14 @@
   void OnWindowsRead(Instant now,
                      const StoreReply& reply,
                      CoordinatorActions& out);
-  void TakeWindow(int64_t number, const StoreReply& reply);
+  void LoadWindow(int64_t number, const StoreReply& reply);
   OrderRecord Content() const;
   void Write(Instant now, CoordinatorActions& out);
   void AddWindow(Instant now,
                  StoreTransaction& transaction,
                  OrderRecord& content);
   void OnWritten(Instant now, const StoreReply& reply, CoordinatorActions& out);
-  void TakeWritten(Instant now);
+  void ApplyWrite(Instant now);
   void TakeOver(Instant now);
   bool MaySendFor(Instant now,
                   int64_t fencing,
@@ -356,7 +356,7 @@
                      const HostId& holder,
                      uint64_t incarnation) const;
   void AgeUsage(Instant now);
-  bool SourceIsOver(Instant now, const UsageSource& source) const;
+  bool SourceEnded(Instant now, const UsageSource& source) const;
   bool TargetBusy(const OrderRequest& request) const;
   bool AwaitsReplies() const;
 
--- a/packages/decisions/coordinator_record.cc
+++ b/packages/decisions/coordinator_record.cc
@@ -56,7 +56,7 @@
   }
   std::vector<LeaseAction> lease_actions;
   this->lease.Lose(now, lease_actions);
-  this->FollowLease(now, lease_actions, out);
+  this->ApplyLeaseActions(now, lease_actions, out);
   return false;
 }
 
@@ -160,7 +160,7 @@
     const std::vector<int64_t> missing = this->MissingWindows();
     std::ranges::for_each(
         missing | std::views::take(kWindowsPerRead),
-        [this, &reply](int64_t number) { this->TakeWindow(number, reply); });
+        [this, &reply](int64_t number) { this->LoadWindow(number, reply); });
     this->ReadWindows(now, out);
   } else if (reply.outcome != StoreOutcome::kOtherwise ||
              this->CheckLease(now, reply, out)) {
@@ -168,7 +168,7 @@
   }
 }
 
-void Coordinator::TakeWindow(int64_t number, const StoreReply& reply) {
+void Coordinator::LoadWindow(int64_t number, const StoreReply& reply) {
   const StoreRecord* record = FindRecord(
       reply, UsageWindowKey(this->options.lease.data_centre, number));
   Result<UsageWindow> window = record == nullptr
@@ -248,7 +248,7 @@
   const int64_t number = this->stored.last_window + 1;
   std::vector<UsageSource> ending;
   for (const auto& [source, age] : this->ages) {
-    if (this->SourceIsOver(now, source)) {
+    if (this->SourceEnded(now, source)) {
       ending.push_back(source);
     }
   }
@@ -291,7 +291,7 @@
   switch (reply.outcome) {
     case StoreOutcome::kThen:
       this->stored_revision = reply.revision;
-      this->TakeWritten(now);
+      this->ApplyWrite(now);
       break;
     case StoreOutcome::kOtherwise:
       // An own write whose reply was lost took effect before this one, or the
@@ -308,7 +308,7 @@
   }
 }
 
-void Coordinator::TakeWritten(Instant now) {
+void Coordinator::ApplyWrite(Instant now) {
   this->stored = std::exchange(this->writing, {});
   for (const Order& order : this->stored.orders) {
     OpenOrder& open = this->orders.at(order.id);
--- a/packages/decisions/digest_delta.cc
+++ b/packages/decisions/digest_delta.cc
@@ -13,7 +13,7 @@
 
 // Flags of an endpoint's encoded state. The first is always set, so that the
 // value differs from 0, which means that there is no entry.
-constexpr int64_t kHeardOf = 1;
+constexpr int64_t kPresentBit = 1;
 constexpr int64_t kLeavingBit = 2;
 constexpr int64_t kDownBit = 4;
 
@@ -43,7 +43,7 @@
   std::map<std::string, Values> values;
   for (const auto& entry : digest.endpoints) {
     values[entry.endpoint.Text()] = {static_cast<int64_t>(entry.incarnation),
-                                     kHeardOf |
+                                     kPresentBit |
                                          (entry.leaving ? kLeavingBit : 0) |
                                          (entry.down ? kDownBit : 0)};
   }
@@ -62,7 +62,7 @@
           .waiting = values.second};
 }
 
-EndpointNews MakeNews(const std::string& id, Values values) {
+EndpointNews MakeStatus(const std::string& id, Values values) {
   return {.endpoint = EndpointId(id),
           .incarnation = static_cast<uint64_t>(values.first),
           .leaving = (values.second & kLeavingBit) != 0,
@@ -88,7 +88,7 @@
 Digest NormaliseDigest(Digest digest) {
   digest.outstanding = MakeEntries(OutstandingValues(digest), &MakeOutstanding);
   digest.served = MakeEntries(ServedValues(digest), &MakeServed);
-  digest.endpoints = MakeEntries(EndpointValues(digest), &MakeNews);
+  digest.endpoints = MakeEntries(EndpointValues(digest), &MakeStatus);
   std::ranges::sort(digest.suspicions);
   return digest;
 }
@@ -108,7 +108,7 @@
     index = *this->free_indexes.begin();
     this->free_indexes.erase(this->free_indexes.begin());
   }
-  this->entries[index] = {.id = id, .bound_at = sequence, .values = {}};
+  this->entries[index] = {.id = id, .assigned_at = sequence, .values = {}};
   this->indexes.emplace(id, index);
   return index;
 }
@@ -139,7 +139,7 @@
     const Entry& entry = this->entries[i];
     if (!entry.id.empty() && entry.changed_at > base) {
       changed.push_back({.index = static_cast<int32_t>(i),
-                         .id = entry.bound_at > base ? entry.id : "",
+                         .id = entry.assigned_at > base ? entry.id : "",
                          .first = entry.values.first,
                          .second = entry.values.second});
     }
@@ -186,13 +186,13 @@
                  .configuration_revision = digest.configuration_revision,
                  .leaving = digest.leaving,
                  .suspicions = std::move(suspicions)};
-  this->ForgetWhatIsGone();
+  this->FreeRemovedEntries();
 }
 
-void DigestSender::ForgetWhatIsGone() {
-  const bool too_many = this->outstanding.Gone() > this->options.max_gone ||
-                        this->served.Gone() > this->options.max_gone ||
-                        this->endpoints.Gone() > this->options.max_gone;
+void DigestSender::FreeRemovedEntries() {
+  const bool too_many = this->outstanding.Gone() > this->options.max_removed ||
+                        this->served.Gone() > this->options.max_removed ||
+                        this->endpoints.Gone() > this->options.max_removed;
   uint64_t acknowledged = this->state.sequence;
   for (auto& [id, receiver] : this->receivers) {
     if (too_many && receiver.acked + 1 < this->state.sequence) {
@@ -205,10 +205,10 @@
       acknowledged = std::min(acknowledged, receiver.acked);
     }
   }
-  if (acknowledged <= this->options.keep_gone) {
+  if (acknowledged <= this->options.removed_retention) {
     return;
   }
-  acknowledged -= this->options.keep_gone;
+  acknowledged -= this->options.removed_retention;
   this->outstanding.Forget(acknowledged);
   this->served.Forget(acknowledged);
   this->endpoints.Forget(acknowledged);
@@ -232,10 +232,11 @@
   // An ack below the last full state or the last ack can't be a base: entries
   // removed after that sequence may have been freed, and no delta would remove
   // them at the receiver.
-  const bool usable = ack.incarnation == this->state.incarnation &&
-                      ack.sequence <= this->state.sequence &&
-                      ack.sequence >= std::max(state.whole_at, state.acked) &&
-                      state.sent > 0;
+  const bool usable =
+      ack.incarnation == this->state.incarnation &&
+      ack.sequence <= this->state.sequence &&
+      ack.sequence >= std::max(state.full_sent_at, state.acked) &&
+      state.sent > 0;
   if (usable) {
     state.acked = ack.sequence;
   } else if (ack.gap) {
@@ -258,7 +259,7 @@
   Receiver& state = this->receivers[receiver];
   const uint64_t base = std::exchange(state.sent, this->state.sequence);
   if (base == 0) {
-    state.whole_at = this->state.sequence;
+    state.full_sent_at = this->state.sequence;
   }
   DigestDelta delta{
       .host = this->state.host,
@@ -318,7 +319,7 @@
       !ApplyEntries(delta.endpoints, this->endpoints)) {
     *this = DigestReceiver();
     this->gap = true;
-    return DeltaOutcome::kWrong;
+    return DeltaOutcome::kMalformed;
   }
   this->gap = false;
   this->current.host = delta.host;
@@ -343,7 +344,7 @@
   this->current.outstanding =
       MakeEntries(pairs(this->outstanding), &MakeOutstanding);
   this->current.served = MakeEntries(pairs(this->served), &MakeServed);
-  this->current.endpoints = MakeEntries(pairs(this->endpoints), &MakeNews);
+  this->current.endpoints = MakeEntries(pairs(this->endpoints), &MakeStatus);
 }
 
 DigestAck DigestReceiver::Ack() const {
--- a/packages/decisions/digest_delta.h
+++ b/packages/decisions/digest_delta.h
@@ -51,11 +51,11 @@
   // In digests. An endpoint without work is removed from the digest and added
   // again with its next request; sending its id again each time would cost more
   // than the rest of the entry.
-  uint64_t keep_gone = 4096;
+  uint64_t removed_retention = 4096;
   // With more removed entries of a kind than this, receivers that are behind
   // with their acknowledgements are sent the full state, so that the entries
   // can be freed.
-  size_t max_gone = 8192;
+  size_t max_removed = 8192;
 
   auto operator<=>(const DigestSenderOptions&) const = default;
 };
@@ -122,7 +122,7 @@
  private:
   struct Entry {
     std::string id;
-    uint64_t bound_at = 0;
+    uint64_t assigned_at = 0;
     uint64_t changed_at = 0;
     Values values;
   };
@@ -168,10 +168,11 @@
     uint64_t incarnation = 0;
     uint64_t acked = 0;
     uint64_t sent = 0;
-    uint64_t whole_at = 0;  // sequence at which the full state was last sent
+    uint64_t full_sent_at =
+        0;  // sequence at which the full state was last sent
   };
 
-  void ForgetWhatIsGone();
+  void FreeRemovedEntries();
 
   DigestSenderOptions options;
   Digest state;  // of its lists, only the suspicions
@@ -185,9 +186,9 @@
 // The result of DigestReceiver::Apply().
 enum class DeltaOutcome {
   kApplied,
-  kStale,  // not newer than the current state
-  kGap,    // an earlier delta was lost; the next ack reports the gap
-  kWrong,  // malformed: no sender of this release produces it
+  kStale,      // not newer than the current state
+  kGap,        // an earlier delta was lost; the next ack reports the gap
+  kMalformed,  // malformed: no sender of this release produces it
 };
 
 // The state of one other host.
--- a/packages/decisions/digest_summary.cc
+++ b/packages/decisions/digest_summary.cc
@@ -7,7 +7,7 @@
 namespace {
 
 // Maximum number of sources that have left but whose counters are retained.
-constexpr size_t kMaxGone = 64;
+constexpr size_t kMaxRetainedSources = 64;
 
 }  // namespace
 
@@ -48,7 +48,7 @@
   // while.
   found->second.digest = {};
   this->gone.push_back(source);
-  if (this->gone.size() > kMaxGone) {
+  if (this->gone.size() > kMaxRetainedSources) {
     this->sources.erase(this->gone.front());
     this->gone.pop_front();
   }
--- a/packages/decisions/dispatcher.h
+++ b/packages/decisions/dispatcher.h
@@ -115,7 +115,8 @@
   virtual DispatchList OnResult(Instant now, const AttemptResult& result) = 0;
 
   // The caller closed its connection before the answer was complete.
-  virtual DispatchList OnCallerGone(Instant now, const RequestId& request) = 0;
+  virtual DispatchList OnCallerDisconnected(Instant now,
+                                            const RequestId& request) = 0;
 
   // Reports from endpoints, and digests from other hosts.
   virtual DispatchList OnLoad(Instant now, const LoadReport& report) = 0;
@@ -123,7 +124,7 @@
   virtual DispatchList OnDigest(Instant now, const Digest& digest) = 0;
 
   // A host left the group or is unreachable. Its last digest is discarded.
-  virtual void OnHostGone(Instant now, const HostId& host) = 0;
+  virtual void OnHostLost(Instant now, const HostId& host) = 0;
 
   // Starts queued requests, hedges slow lookups, and refuses requests whose
   // deadline has passed. To be called about every 10 ms.
--- a/packages/decisions/duty_tenure.cc
+++ b/packages/decisions/duty_tenure.cc
@@ -4,7 +4,7 @@
 
 namespace hickorystand {
 
-void DutyTenure::OnTaken(Instant now, Duration wait) {
+void DutyTenure::OnLeaseAcquired(Instant now, Duration wait) {
   this->act_from = now + wait;
   this->first_call.reset();
 }
--- a/packages/decisions/duty_tenure.h
+++ b/packages/decisions/duty_tenure.h
@@ -12,7 +12,7 @@
 // hosts don't alternate within that time.
 //
 //   DutyTenure tenure(lease_length);
-//   tenure.OnTaken(now, wait);
+//   tenure.OnLeaseAcquired(now, wait);
 //   const uint64_t call = tenure.OnCallStarted(now);
 //   tenure.OnCallEnded(now, call, CallEnd::kAnswered);
 //   if (tenure.Idle()) {
@@ -44,7 +44,7 @@
 
   // This host has acquired the lease; calls of earlier holders may arrive for
   // `wait` from now.
-  void OnTaken(Instant now, Duration wait);
+  void OnLeaseAcquired(Instant now, Duration wait);
 
   // A call is about to be sent; returns its number.
   uint64_t OnCallStarted(Instant now);
--- a/packages/decisions/endpoint_board.cc
+++ b/packages/decisions/endpoint_status_table.cc
@@ -1,4 +1,4 @@
-#include "decisions/endpoint_board.h"
+#include "decisions/endpoint_status_table.h"
 
 #include <algorithm>
 
@@ -6,8 +6,9 @@
 
 // Returns the state of an endpoint's incarnation, or nullptr if a newer
 // incarnation has been reported. A new incarnation resets the state.
-EndpointBoard::State* EndpointBoard::Current(const EndpointId& endpoint,
-                                             uint64_t incarnation) {
+EndpointStatusTable::State* EndpointStatusTable::Current(
+    const EndpointId& endpoint,
+    uint64_t incarnation) {
   State& state = this->states[endpoint];
   if (incarnation < state.incarnation) {
     return nullptr;
@@ -18,7 +19,8 @@
   return &state;
 }
 
-void EndpointBoard::OnNews(const HostId& from, const EndpointNews& report) {
+void EndpointStatusTable::OnNews(const HostId& from,
+                                 const EndpointNews& report) {
   State* state = this->Current(report.endpoint, report.incarnation);
   if (state == nullptr) {
     return;
@@ -32,8 +34,8 @@
   }
 }
 
-void EndpointBoard::OnNews(const HostId& from,
-                           const std::vector<EndpointNews>& reports) {
+void EndpointStatusTable::OnNews(const HostId& from,
+                                 const std::vector<EndpointNews>& reports) {
   for (auto& [id, state] : this->states) {
     const auto report = std::ranges::find(reports, id, &EndpointNews::endpoint);
     if (report == reports.end()) {
@@ -46,26 +48,27 @@
   }
 }
 
-void EndpointBoard::OnAlive(const EndpointId& endpoint, uint64_t incarnation) {
+void EndpointStatusTable::OnAlive(const EndpointId& endpoint,
+                                  uint64_t incarnation) {
   if (State* state = this->Current(endpoint, incarnation)) {
     state->refuted = state->down;
   }
 }
 
-void EndpointBoard::OnHostGone(const HostId& host) {
+void EndpointStatusTable::OnHostLost(const HostId& host) {
   for (auto& [id, state] : this->states) {
     state.down.erase(host);
     state.refuted.erase(host);
   }
 }
 
-void EndpointBoard::Keep(const std::set<EndpointId>& endpoints) {
+void EndpointStatusTable::Keep(const std::set<EndpointId>& endpoints) {
   std::erase_if(this->states, [&](const auto& entry) {
     return !endpoints.contains(entry.first);
   });
 }
 
-bool EndpointBoard::Out(const EndpointId& endpoint) const {
+bool EndpointStatusTable::Out(const EndpointId& endpoint) const {
   const auto found = this->states.find(endpoint);
   if (found == this->states.end()) {
     return false;
@@ -77,7 +80,7 @@
          });
 }
 
-std::vector<EndpointNews> EndpointBoard::Leaving() const {
+std::vector<EndpointNews> EndpointStatusTable::Leaving() const {
   std::vector<EndpointNews> leaving;
   for (const auto& [id, state] : this->states) {
     if (state.leaving) {
--- a/packages/decisions/endpoint_board.h
+++ b/packages/decisions/endpoint_status_table.h
@@ -21,7 +21,7 @@
 namespace hickorystand {
 
 // The state of each endpoint that any host, including this one, has reported.
-class EndpointBoard {
+class EndpointStatusTable {
  public:
   // Sets all current reports of a host. An earlier "down" report that is
   // missing now is withdrawn.
@@ -34,7 +34,7 @@
   void OnAlive(const EndpointId& endpoint, uint64_t incarnation);
 
   // Withdraws the "down" reports of a host that has left.
-  void OnHostGone(const HostId& host);
+  void OnHostLost(const HostId& host);
 
   // Removes endpoints that are no longer in the configuration.
   void Keep(const std::set<EndpointId>& endpoints);
--- a/packages/decisions/engine_cache.cc
+++ b/packages/decisions/engine_cache.cc
@@ -33,7 +33,7 @@
   }
 }
 
-void EngineCache::DropUnconfirmed(uint64_t part) {
+void EngineCache::RemoveUnconfirmed(uint64_t part) {
   const auto found = this->entries.find(part);
   if (found != this->entries.end() && !found->second.confirmed) {
     this->Drop(part);
--- a/packages/decisions/engine_cache.h
+++ b/packages/decisions/engine_cache.h
@@ -37,7 +37,7 @@
   void Drop(uint64_t part);
 
   // Removes a part unless it is confirmed.
-  void DropUnconfirmed(uint64_t part);
+  void RemoveUnconfirmed(uint64_t part);
 
   // The confirmed parts, least recently used first.
   std::vector<PartTokens> Confirmed() const;
--- a/packages/decisions/engine_pace.cc
+++ b/packages/decisions/engine_pace.cc
@@ -9,23 +9,23 @@
 namespace {
 
 // The share of measurements below an estimate.
-constexpr double kBelow = 0.4;
+constexpr double kTargetQuantile = 0.4;
 
 // The step of the first measurement, as a power of e, and the smallest step,
 // after many measurements. In between it falls as
-// 1 / (1 + measurements / kStepHalved).
+// 1 / (1 + measurements / kStepHalvingCount).
 constexpr double kFirstStep = 0.5;
-constexpr double kLastStep = 0.03;
-constexpr double kStepHalved = 10;
+constexpr double kMinStep = 0.03;
+constexpr double kStepHalvingCount = 10;
 
 // Below the first bound, a prefill time depends more on other delays than on
 // the rate; up to the second bound, only on those.
-constexpr int64_t kLeastForRate = 2000;
-constexpr int64_t kMostForDelay = 600;
+constexpr int64_t kMinTokensForRate = 2000;
+constexpr int64_t kMaxTokensForDelay = 600;
 
-constexpr double kShortest = 1e-9;  // seconds; keeps measurements positive
+constexpr double kMinSeconds = 1e-9;  // seconds; keeps measurements positive
 
-double SecondsAToken(double tokens_per_second) {
+double SecondsPerToken(double tokens_per_second) {
   return 1 / tokens_per_second;
 }
 
@@ -33,16 +33,17 @@
 
 void TypicalTime::Add(double measured, double weight) {
   const double step = std::max(
-      kLastStep,
-      kFirstStep / (1 + static_cast<double>(this->measurements) / kStepHalved));
-  const double direction = measured > this->seconds ? kBelow : kBelow - 1;
+      kMinStep, kFirstStep / (1 + static_cast<double>(this->measurements) /
+                                      kStepHalvingCount));
+  const double direction =
+      measured > this->seconds ? kTargetQuantile : kTargetQuantile - 1;
   this->seconds *= std::exp(weight * step * direction);
   ++this->measurements;
 }
 
 void TypicalTime::Adopt(double figure, int64_t measurements) {
   if (measurements > this->measurements && std::isfinite(figure) &&
-      figure > kShortest) {
+      figure > kMinSeconds) {
     this->seconds = figure;
     this->measurements = measurements;
   }
@@ -51,14 +52,14 @@
 EnginePace::EnginePace(const EnginePaceOptions& guess)
     : guess(guess),
       copied_tokens(guess.copied_tokens),
-      token_prefill(SecondsAToken(guess.prompt_tokens)),
+      token_prefill(SecondsPerToken(guess.prompt_tokens)),
       token_decode(
-          SecondsAToken(guess.prompt_tokens * guess.decode_role_share)),
+          SecondsPerToken(guess.prompt_tokens * guess.decode_role_share)),
       first_token(ToSeconds(guess.first_token)),
       after_reading(ToSeconds(guess.after_reading)),
       copy_setup(ToSeconds(guess.copy_setup)) {}
 
-double EnginePace::PromptTokens(EndpointRole role) const {
+double EnginePace::PrefillTokensPerSecond(EndpointRole role) const {
   const bool is_prefill = role == EndpointRole::kPrefill;
   const TypicalTime& own =
       is_prefill ? this->token_prefill : this->token_decode;
@@ -72,40 +73,40 @@
   return (is_prefill ? 1 / share : share) / other.Seconds();
 }
 
-double EnginePace::Copying(int64_t tokens) const {
+double EnginePace::TransferSeconds(int64_t tokens) const {
   return this->copy_setup.Seconds() +
          static_cast<double>(tokens) / this->copied_tokens;
 }
 
-void EnginePace::OnRead(const ReadingMeasured& measurement) {
+void EnginePace::OnRead(const PrefillMeasurement& measurement) {
   const bool is_prefill = measurement.role == EndpointRole::kPrefill;
   const auto tokens = static_cast<double>(measurement.tokens);
-  const auto all =
-      static_cast<double>(measurement.tokens + measurement.tokens_before);
-  const double rate = this->PromptTokens(measurement.role);
+  const auto all = static_cast<double>(measurement.tokens +
+                                       measurement.queued_tokens_before);
+  const double rate = this->PrefillTokensPerSecond(measurement.role);
   const double delay = is_prefill ? 0 : this->FirstToken();
   const double took = ToSeconds(measurement.took);
   if (measurement.copied_tokens > 0) {
-    if (measurement.tokens_before == 0) {
+    if (measurement.queued_tokens_before == 0) {
       const double setup =
           took - delay - tokens / rate -
           static_cast<double>(measurement.copied_tokens) / this->copied_tokens;
-      this->copy_setup.Add(std::max(setup, kShortest));
+      this->copy_setup.Add(std::max(setup, kMinSeconds));
     }
     return;
   }
-  if (measurement.tokens >= kLeastForRate) {
+  if (measurement.tokens >= kMinTokensForRate) {
     // Other hosts report the queued tokens late; the larger their share, the
     // less the measurement says about the rate.
     (is_prefill ? this->token_prefill : this->token_decode)
-        .Add(std::max(took - delay, kShortest) / all, tokens / all);
-  } else if (measurement.tokens <= kMostForDelay && !is_prefill) {
-    this->first_token.Add(std::max(took - all / rate, kShortest));
+        .Add(std::max(took - delay, kMinSeconds) / all, tokens / all);
+  } else if (measurement.tokens <= kMaxTokensForDelay && !is_prefill) {
+    this->first_token.Add(std::max(took - all / rate, kMinSeconds));
   }
 }
 
-void EnginePace::OnAnswerAfterReading(Duration took) {
-  this->after_reading.Add(std::max(ToSeconds(took), kShortest));
+void EnginePace::OnFirstTokenAfterHandover(Duration took) {
+  this->after_reading.Add(std::max(ToSeconds(took), kMinSeconds));
 }
 
 PaceFigures EnginePace::Figures() const {
--- a/packages/decisions/engine_pace.h
+++ b/packages/decisions/engine_pace.h
@@ -76,14 +76,15 @@
 };
 
 // A measured prefill.
-struct ReadingMeasured {
+struct PrefillMeasurement {
   EndpointRole role = EndpointRole::kPrefill;
-  int64_t tokens = 0;         // of the request itself
-  int64_t tokens_before = 0;  // recorded as queued there before the request
+  int64_t tokens = 0;  // of the request itself
+  int64_t queued_tokens_before =
+      0;                      // recorded as queued there before the request
   int64_t copied_tokens = 0;  // transferred from another engine first
   Duration took{};            // until the first event of the response
 
-  auto operator<=>(const ReadingMeasured&) const = default;
+  auto operator<=>(const PrefillMeasurement&) const = default;
 };
 
 // The estimates for one service's engines.
@@ -93,28 +94,30 @@
 
   // Sets the transfer rate between engines, where the configuration specifies
   // it.
-  void SetCopiedTokens(double tokens_per_second) {
+  void SetTransferRate(double tokens_per_second) {
     this->copied_tokens = tokens_per_second;
   }
 
-  void OnRead(const ReadingMeasured& measurement);
+  void OnRead(const PrefillMeasurement& measurement);
 
   // Records the time to the first token of an answer whose prompt another
   // engine had prefilled.
-  void OnAnswerAfterReading(Duration took);
+  void OnFirstTokenAfterHandover(Duration took);
 
   // Prompt tokens per second that a typical engine prefills.
-  double PromptTokens(EndpointRole role) const;
+  double PrefillTokensPerSecond(EndpointRole role) const;
 
   // Seconds to the first token, without prefill.
   double FirstToken() const { return this->first_token.Seconds(); }
 
   // Seconds to the first token of an answer whose prompt another engine has
   // prefilled.
-  double AfterReading() const { return this->after_reading.Seconds(); }
+  double FirstTokenAfterHandover() const {
+    return this->after_reading.Seconds();
+  }
 
   // Seconds to transfer tokens from an engine in the same zone.
-  double Copying(int64_t tokens) const;
+  double TransferSeconds(int64_t tokens) const;
 
   PaceFigures Figures() const;
 
--- a/packages/decisions/fleet_clock.cc
+++ b/packages/decisions/fleet_clock.cc
@@ -9,20 +9,20 @@
 // The number of a host's latest reports, the highest of which counts: a delayed
 // message reports a past time, never a future one. At two messages per second,
 // a wrong report is dropped within four seconds.
-constexpr size_t kSaid = 8;
+constexpr size_t kReportsPerHost = 8;
 
 // The number of hosts that are tracked. More would not improve the median.
-constexpr size_t kMostHosts = 64;
+constexpr size_t kMaxHosts = 64;
 
 }  // namespace
 
 void FleetClock::OnPeer(const HostId& host, int64_t unix_ms, int64_t boot_ms) {
-  if (!this->others.contains(host) && this->others.size() >= kMostHosts) {
+  if (!this->others.contains(host) && this->others.size() >= kMaxHosts) {
     return;
   }
   std::deque<int64_t>& reports = this->others[host];
   reports.push_back(unix_ms - boot_ms);
-  if (reports.size() > kSaid) {
+  if (reports.size() > kReportsPerHost) {
     reports.pop_front();
   }
 }
