--- a/packages/decisions/fleet_placement.cc
+++ b/packages/decisions/fleet_placement.cc
@@ -17,27 +17,27 @@
 // Weight of the newest measurement of an engine's slowness, and the fewest
 // prompt tokens for a measurement: for short prompts, other delays dominate.
 constexpr double kSlownessWeight = 0.12;
-constexpr int64_t kLeastMeasured = 2000;
+constexpr int64_t kMinSlownessTokens = 2000;
 
 // Weight of the newest pause between two events of a stream, and how long the
 // mean stays valid without a new pause.
 constexpr double kPauseWeight = 0.03;
-constexpr Duration kPauseMemory = std::chrono::seconds(2);
+constexpr Duration kPauseValidity = std::chrono::seconds(2);
 
 // Upper bound of the factor by which long pauses raise the prefill penalty.
-constexpr double kMostPauseShare = 3;
+constexpr double kMaxPauseShare = 3;
 
 // An overload ends after this long without a refusal.
-constexpr Duration kOverloadPause = std::chrono::milliseconds(300);
+constexpr Duration kOverloadGap = std::chrono::milliseconds(300);
 
 // Target latency of requests whose route has none.
-constexpr Duration kUsualTarget = std::chrono::milliseconds(600);
+constexpr Duration kDefaultTargetLatency = std::chrono::milliseconds(600);
 
 // Weight of the newest duration of a plain call.
-constexpr double kPlainWeight = 0.1;
+constexpr double kPlainCallTimeWeight = 0.1;
 
 // Maps a part and an endpoint to [0, 1), identically on every host.
-double HashPlace(uint64_t part, const EndpointId& endpoint) {
+double RendezvousDraw(uint64_t part, const EndpointId& endpoint) {
   const std::string& id = endpoint.Text();
   const uint64_t hash = XXH3_64bits_withSeed(id.data(), id.size(), part);
   return static_cast<double>(hash >> 11) / static_cast<double>(1ULL << 53);
@@ -45,7 +45,7 @@
 
 // The longest shared part of a prompt, the key of rendezvous hashing: the last
 // but one, since the last part is specific to the request.
-uint64_t AffinityOf(const WorkShape& shape) {
+uint64_t LongestSharedPart(const RequestProfile& shape) {
   if (shape.parts.empty()) {
     return 0;
   }
@@ -53,14 +53,14 @@
 }
 
 // The number of the prompt's tokens that an engine has cached.
-int64_t KeptOf(const EngineCache& cache,
-               const WorkShape& shape,
-               bool confirmed_only) {
+int64_t CachedTokens(const EngineCache& cache,
+                     const RequestProfile& shape,
+                     bool confirmed_only) {
   return std::min(cache.Kept(shape.parts, confirmed_only), shape.prompt_tokens);
 }
 
-Duration TargetOf(const WorkShape& shape) {
-  return shape.target > Duration{} ? shape.target : kUsualTarget;
+Duration TargetOf(const RequestProfile& shape) {
+  return shape.target > Duration{} ? shape.target : kDefaultTargetLatency;
 }
 
 }  // namespace
@@ -75,11 +75,11 @@
   if (part.tokens == 0) {
     cache.Drop(part.part);
   } else {
-    cache.Keep(part, this->CacheRoom(found->second.endpoint.service), true);
+    cache.Keep(part, this->CacheCapacity(found->second.endpoint.service), true);
   }
 }
 
-void FleetPlacement::ForgetCache(const EndpointId& endpoint) {
+void FleetPlacement::ClearCache(const EndpointId& endpoint) {
   if (const auto found = this->states.find(endpoint);
       found != this->states.end()) {
     found->second.cache = {};
@@ -111,15 +111,15 @@
   }
 }
 
-void FleetPlacement::SetServiceShare(const ServiceId& service,
-                                     const ServiceShare& share) {
+void FleetPlacement::SetServiceParameters(const ServiceId& service,
+                                          const ServiceParameters& share) {
   this->shares[service] = share;
   if (share.copied_tokens > 0) {
-    this->PaceOf(service).SetCopiedTokens(share.copied_tokens);
+    this->MutablePace(service).SetTransferRate(share.copied_tokens);
   }
 }
 
-EnginePace& FleetPlacement::PaceOf(const ServiceId& service) {
+EnginePace& FleetPlacement::MutablePace(const ServiceId& service) {
   return this->paces.try_emplace(service, this->options.pace).first->second;
 }
 
@@ -138,16 +138,17 @@
 
 void FleetPlacement::AdoptPace(const PaceByService& received) {
   for (const auto& [service, figures] : received) {
-    this->PaceOf(service).Adopt(figures);
+    this->MutablePace(service).Adopt(figures);
   }
 }
 
 double FleetPlacement::Rate(const State& state) const {
-  return this->Pace(state.endpoint.service).PromptTokens(state.endpoint.role) /
+  return this->Pace(state.endpoint.service)
+             .PrefillTokensPerSecond(state.endpoint.role) /
          state.slowness;
 }
 
-int64_t FleetPlacement::CacheRoom(const ServiceId& service) const {
+int64_t FleetPlacement::CacheCapacity(const ServiceId& service) const {
   const auto share = this->shares.find(service);
   return share != this->shares.end() && share->second.cache_tokens > 0
              ? share->second.cache_tokens
@@ -155,15 +156,16 @@
 }
 
 double FleetPlacement::Penalty(const State& state,
-                               const WorkShape& shape) const {
+                               const RequestProfile& shape) const {
   const double zone =
       state.endpoint.zone == this->options.zone
           ? 0
-          : this->options.other_zone * ToSeconds(TargetOf(shape));
+          : this->options.other_zone_cost_share * ToSeconds(TargetOf(shape));
   const bool is_connected = !this->connected || this->connected(state.endpoint);
-  const double connecting =
-      is_connected ? 0
-                   : this->options.new_connection * ToSeconds(TargetOf(shape));
+  const double connecting = is_connected
+                                ? 0
+                                : this->options.new_connection_cost_share *
+                                      ToSeconds(TargetOf(shape));
   return zone + connecting +
          state.failure_share * ToSeconds(this->options.failure_penalty);
 }
@@ -171,12 +173,13 @@
 // Penalty for generating on an engine: for the requests that run there, and
 // because a spot engine may be reclaimed.
 double FleetPlacement::StreamPenalty(const State& state,
-                                     const WorkShape& shape) const {
+                                     const RequestProfile& shape) const {
   const double taken =
       static_cast<double>(this->Running(state.endpoint.run.id)) /
       static_cast<double>(std::max<int64_t>(state.endpoint.slots, 1));
-  const double spot = state.endpoint.spot ? this->options.spot_streams : 0;
-  return (this->options.full_slots * taken * taken + spot) *
+  const double spot =
+      state.endpoint.spot ? this->options.spot_decode_cost_share : 0;
+  return (this->options.full_slots_cost_share * taken * taken + spot) *
          ToSeconds(TargetOf(shape));
 }
 
@@ -196,29 +199,30 @@
 double FleetPlacement::PlainSeconds(const ServiceId& service) const {
   const auto found = this->plain_seconds.find(service);
   return found == this->plain_seconds.end()
-             ? ToSeconds(this->options.plain_time)
+             ? ToSeconds(this->options.default_plain_call_time)
              : found->second;
 }
 
 int64_t FleetPlacement::NewTokens(const EndpointId& endpoint,
-                                  const WorkShape& shape) const {
+                                  const RequestProfile& shape) const {
   const auto found = this->states.find(endpoint);
   return found == this->states.end()
              ? shape.prompt_tokens
-             : shape.prompt_tokens - KeptOf(found->second.cache, shape, false);
+             : shape.prompt_tokens -
+                   CachedTokens(found->second.cache, shape, false);
 }
 
 // The engine with the longest cached prefix of the prompt. A draining engine
 // still serves as a transfer source.
 FleetPlacement::Source FleetPlacement::BestSource(
-    const WorkShape& shape) const {
+    const RequestProfile& shape) const {
   Source best;
   for (const auto& [id, state] : this->states) {
     if (state.endpoint.service != shape.service ||
-        state.failures_in_row >= this->options.failures_to_eject - 1) {
+        state.consecutive_failures >= this->options.failures_to_eject - 1) {
       continue;
     }
-    const int64_t cached = KeptOf(state.cache, shape, true);
+    const int64_t cached = CachedTokens(state.cache, shape, true);
     const bool nearer = cached == best.tokens && cached > 0 &&
                         state.endpoint.zone == this->options.zone &&
                         best.zone != this->options.zone;
@@ -232,21 +236,22 @@
 bool FleetPlacement::Usable(Instant now, const EndpointId& endpoint) const {
   const auto found = this->states.find(endpoint);
   return found != this->states.end() && !found->second.endpoint.leaving &&
-         now >= found->second.out_until;
+         now >= found->second.excluded_until;
 }
 
 bool FleetPlacement::Takes(Instant now,
                            const State& state,
-                           const WorkShape& shape,
+                           const RequestProfile& shape,
                            const std::set<EndpointId>& tried) const {
   const EndpointId& id = state.endpoint.run.id;
   const auto share = this->shares.find(shape.service);
   if (share != this->shares.end() &&
-      state.running >= share->second.requests_at_once) {
+      state.running >= share->second.max_concurrent_requests) {
     return false;
   }
   return state.endpoint.service == shape.service && !state.endpoint.leaving &&
-         now >= state.out_until && !tried.contains(id) && !this->IsAway(id);
+         now >= state.excluded_until && !tried.contains(id) &&
+         !this->IsUnavailable(id);
 }
 
 void FleetPlacement::OnPause(Instant now,
@@ -265,13 +270,14 @@
                                   double target) const {
   const auto found = this->pauses.find(service);
   if (found == this->pauses.end() || target <= 0 ||
-      now - found->second.last > kPauseMemory) {
+      now - found->second.last > kPauseValidity) {
     return 0;
   }
-  const double excess = found->second.mean / target - this->options.pause_free;
-  return std::clamp(
-      excess / (this->options.pause_full - this->options.pause_free), 0.0,
-      kMostPauseShare);
+  const double excess =
+      found->second.mean / target - this->options.pause_penalty_start;
+  return std::clamp(excess / (this->options.pause_penalty_full -
+                              this->options.pause_penalty_start),
+                    0.0, kMaxPauseShare);
 }
 
 // Penalty for prefill on a decode engine. The engine prefills a chunk between
@@ -279,14 +285,14 @@
 // with many tokens miss their deadline.
 double FleetPlacement::DecodeStall(Instant now,
                                    const State& state,
-                                   const WorkShape& shape,
+                                   const RequestProfile& shape,
                                    const Reading& reading) const {
   const auto share = this->shares.find(shape.service);
   const double pause =
       share == this->shares.end() ? 0 : ToSeconds(share->second.pause_target);
   const bool too_long =
-      pause > 0 && reading.all > this->options.longest_decode_stall * pause;
-  const double crowded = reading.tokens > this->options.short_prompt
+      pause > 0 && reading.all > this->options.max_decode_stall_share * pause;
+  const double crowded = reading.tokens > this->options.short_prompt_tokens
                              ? this->PauseShare(now, shape.service, pause)
                              : 0;
   const auto streams =
@@ -296,23 +302,23 @@
              std::max(too_long ? 1.0 : 0.0, crowded);
 }
 
-FleetPlacement::Weighed FleetPlacement::WeighEngine(
+FleetPlacement::ScoredEndpoint FleetPlacement::ScoreEngine(
     Instant now,
     const State& state,
-    const WorkShape& shape,
+    const RequestProfile& shape,
     const Source& source) const {
   const EndpointId& id = state.endpoint.run.id;
   const EnginePace& pace = this->Pace(shape.service);
   const double rate = this->Rate(state);
-  const int64_t cached = KeptOf(state.cache, shape, false);
+  const int64_t cached = CachedTokens(state.cache, shape, false);
   const int64_t transferable = source.tokens - cached;
   const int64_t copied =
       transferable >= this->options.minimum_kv_transfer ? transferable : 0;
   const int64_t new_tokens = shape.prompt_tokens - cached - copied;
   const double transfer_seconds =
-      copied > 0
-          ? pace.Copying(copied) * (source.zone == state.endpoint.zone ? 1 : 2)
-          : 0;
+      copied > 0 ? pace.TransferSeconds(copied) *
+                       (source.zone == state.endpoint.zone ? 1 : 2)
+                 : 0;
   // The request's own last part must be prefilled on any engine; the rest is a
   // cache miss.
   const int64_t own = shape.parts.empty() ? 0 : shape.parts.back().tokens;
@@ -325,8 +331,9 @@
       rate;
   const double prefill_seconds =
       queue_seconds + static_cast<double>(new_tokens) / rate;
-  const double seconds = prefill_seconds + transfer_seconds +
-                         (is_prefill ? pace.AfterReading() : pace.FirstToken());
+  const double seconds =
+      prefill_seconds + transfer_seconds +
+      (is_prefill ? pace.FirstTokenAfterHandover() : pace.FirstToken());
   const double decode_stall =
       is_prefill ? 0
                  : this->StreamPenalty(state, shape) +
@@ -348,18 +355,19 @@
 // Adds a penalty for each engine's rank in the weighted rendezvous order of the
 // prompt's longest shared part. An engine comes first in proportion to its
 // prefill rate.
-void FleetPlacement::AddRendezvousPenalty(const WorkShape& shape,
-                                          std::vector<Weighed>& weighed) const {
+void FleetPlacement::AddRendezvousPenalty(
+    const RequestProfile& shape,
+    std::vector<ScoredEndpoint>& weighed) const {
   struct Rank {
     double draw = 0;
-    Weighed* engine = nullptr;
+    ScoredEndpoint* engine = nullptr;
   };
-  const uint64_t part = AffinityOf(shape);
+  const uint64_t part = LongestSharedPart(shape);
   std::vector<Rank> order;
-  for (Weighed& one : weighed) {
+  for (ScoredEndpoint& one : weighed) {
     const double rate = this->Rate(this->states.at(one.endpoint));
     order.push_back(
-        {.draw = -std::log(1 - HashPlace(part, one.endpoint)) / rate,
+        {.draw = -std::log(1 - RendezvousDraw(part, one.endpoint)) / rate,
          .engine = &one});
   }
   std::ranges::sort(order, {}, &Rank::draw);
@@ -368,7 +376,7 @@
   const double step =
       static_cast<double>(
           std::min(this->options.rendezvous_rank_penalty_tokens, shared)) /
-      this->Pace(shape.service).PromptTokens(EndpointRole::kPrefill);
+      this->Pace(shape.service).PrefillTokensPerSecond(EndpointRole::kPrefill);
   int64_t rank = 0;
   for (const Rank& one : order) {
     one.engine->score += step * static_cast<double>(std::min(
@@ -376,9 +384,9 @@
   }
 }
 
-FleetPlacement::Weighed FleetPlacement::WeighPlain(
+FleetPlacement::ScoredEndpoint FleetPlacement::ScorePlainEndpoint(
     const State& state,
-    const WorkShape& shape) const {
+    const RequestProfile& shape) const {
   const EndpointOutstanding others = this->PeerWork(state.endpoint.run.id);
   const double call_seconds = this->PlainSeconds(shape.service);
   const double slots =
@@ -389,7 +397,7 @@
   return {
       .endpoint = state.endpoint.run.id,
       .score = call_seconds * outstanding / slots + this->Penalty(state, shape),
-      .seconds = outstanding / slots > this->options.plain_queue
+      .seconds = outstanding / slots > this->options.plain_queue_per_slot
                      ? ToSeconds(shape.patience) + seconds
                      : seconds};
 }
@@ -397,16 +405,16 @@
 // Refuses a request that no endpoint can answer in time, or whose queueing time
 // would make every queued request late.
 std::optional<Refused> FleetPlacement::RefuseIfTooLate(
-    const WorkShape& shape,
-    const std::vector<Weighed>& weighed,
-    const Weighed& best) const {
+    const RequestProfile& shape,
+    const std::vector<ScoredEndpoint>& weighed,
+    const ScoredEndpoint& best) const {
   const double soonest =
-      std::ranges::min(weighed, {}, &Weighed::seconds).seconds;
+      std::ranges::min(weighed, {}, &ScoredEndpoint::seconds).seconds;
   const double excess_latency = soonest - ToSeconds(shape.patience);
   const double excess_queueing =
       shape.begun ? 0
-                  : best.waiting -
-                        this->options.longest_wait * ToSeconds(TargetOf(shape));
+                  : best.waiting - this->options.max_queue_wait_share *
+                                       ToSeconds(TargetOf(shape));
   if (std::max(excess_latency, excess_queueing) <= 0) {
     return {};
   }
@@ -415,10 +423,10 @@
       .retry_after = FromSeconds(std::max(excess_latency, excess_queueing))};
 }
 
-Verdict FleetPlacement::Place(Instant now,
-                              const WorkShape& shape,
-                              const std::set<EndpointId>& tried) const {
-  std::vector<Weighed> weighed;
+PlacementResult FleetPlacement::Place(Instant now,
+                                      const RequestProfile& shape,
+                                      const std::set<EndpointId>& tried) const {
+  std::vector<ScoredEndpoint> weighed;
   const Source source = shape.engine ? this->BestSource(shape) : Source();
   bool any_answers = false;
   for (const auto& [id, state] : this->states) {
@@ -426,19 +434,20 @@
       continue;
     }
     weighed.push_back(shape.engine
-                          ? this->WeighEngine(now, state, shape, source)
-                          : this->WeighPlain(state, shape));
+                          ? this->ScoreEngine(now, state, shape, source)
+                          : this->ScorePlainEndpoint(state, shape));
     any_answers = any_answers || !weighed.back().reader;
   }
   if (weighed.empty() || !any_answers) {
     return Refused{.reason = "no endpoint",
-                   .retry_after = this->options.eject_for};
+                   .retry_after = this->options.min_ejection};
   }
   if (shape.engine) {
     this->AddRendezvousPenalty(shape, weighed);
   }
-  const Weighed& best = *std::ranges::min_element(
-      weighed, std::less<>(), [](const Weighed& one) { return one.score; });
+  const ScoredEndpoint& best = *std::ranges::min_element(
+      weighed, std::less<>(),
+      [](const ScoredEndpoint& one) { return one.score; });
   const Duration expected = FromSeconds(best.seconds);
   if (auto refused = this->RefuseIfTooLate(shape, weighed, best)) {
     return *std::move(refused);
@@ -446,27 +455,27 @@
   const auto copy_from =
       best.copied_tokens > 0 ? std::optional(source.endpoint) : std::nullopt;
   if (!best.reader) {
-    return Placed{.endpoint = best.endpoint,
-                  .copy_from = copy_from,
-                  .new_tokens = best.new_tokens,
-                  .copied_tokens = best.copied_tokens,
-                  .expected = expected};
+    return PlacementTarget{.endpoint = best.endpoint,
+                           .copy_from = copy_from,
+                           .new_tokens = best.new_tokens,
+                           .copied_tokens = best.copied_tokens,
+                           .expected = expected};
   }
   const auto answers = this->PlaceAnswer(now, shape, best.endpoint, tried);
   assert(answers && "an endpoint that generates was found above");
-  return Placed{.endpoint = *answers,
-                .reader = best.endpoint,
-                .copy_from = copy_from,
-                .new_tokens = best.new_tokens,
-                .copied_tokens = best.copied_tokens,
-                .expected = expected};
+  return PlacementTarget{.endpoint = *answers,
+                         .reader = best.endpoint,
+                         .copy_from = copy_from,
+                         .new_tokens = best.new_tokens,
+                         .copied_tokens = best.copied_tokens,
+                         .expected = expected};
 }
 
 Duration FleetPlacement::OnRefused(Instant now,
                                    const ServiceId& service,
                                    Duration until_room) {
   Overload& overload = this->overloads[service];
-  if (overload.last == Instant{} || now - overload.last > kOverloadPause) {
+  if (overload.last == Instant{} || now - overload.last > kOverloadGap) {
     overload.since = now;
   }
   overload.last = now;
@@ -475,16 +484,16 @@
 
 std::optional<EndpointId> FleetPlacement::PlaceAnswer(
     Instant now,
-    const WorkShape& shape,
+    const RequestProfile& shape,
     const EndpointId& prefill_endpoint,
     const std::set<EndpointId>& tried) const {
   const auto prefill_state = this->states.find(prefill_endpoint);
   const EnginePace& pace = this->Pace(shape.service);
   const double other_zone_cost =
-      std::max(pace.AfterReading() - pace.FirstToken(), 0.0) +
-      this->options.other_zone_handover *
+      std::max(pace.FirstTokenAfterHandover() - pace.FirstToken(), 0.0) +
+      this->options.other_zone_handover_cost_share *
           static_cast<double>(shape.prompt_tokens) /
-          pace.PromptTokens(EndpointRole::kPrefill);
+          pace.PrefillTokensPerSecond(EndpointRole::kPrefill);
   std::optional<EndpointId> best;
   double least = 0;
   for (const auto& [id, state] : this->states) {
@@ -513,7 +522,7 @@
 
 WorkId FleetPlacement::OnSent(Instant now,
                               const EndpointId& endpoint,
-                              const WorkShape& shape,
+                              const RequestProfile& shape,
                               const SentWork& sent) {
   const auto found = this->states.find(endpoint);
   if (found == this->states.end()) {
@@ -524,7 +533,7 @@
       .endpoint = endpoint,
       .started = state.endpoint.run.started,
       .what = sent,
-      .tokens_before =
+      .queued_tokens_before =
           state.waiting_tokens + this->PeerWork(endpoint).prompt_tokens,
       .parts = shape.parts,
       .sent = now};
@@ -533,7 +542,7 @@
   // Inserted before the prefill is done: the next request with the same parts
   // at this engine waits for the prefill and finds them cached.
   for (const PartTokens& part : shape.parts) {
-    state.cache.Keep(part, this->CacheRoom(shape.service), false);
+    state.cache.Keep(part, this->CacheCapacity(shape.service), false);
   }
   return this->last_work;
 }
@@ -548,46 +557,48 @@
 
 // Compares a prompt's prefill time with the service's usual one. Engines of one
 // service differ in speed, and nothing else shows that one has become slow.
-void FleetPlacement::LearnSlowness(Duration took,
-                                   const Work& work,
-                                   State& state) {
-  const int64_t tokens = work.what.new_tokens + work.tokens_before;
-  if (tokens < kLeastMeasured || work.what.new_tokens == 0) {
+void FleetPlacement::UpdateSlowness(Duration took,
+                                    const Work& work,
+                                    State& state) {
+  const int64_t tokens = work.what.new_tokens + work.queued_tokens_before;
+  if (tokens < kMinSlownessTokens || work.what.new_tokens == 0) {
     return;
   }
   const EnginePace& pace = this->Pace(state.endpoint.service);
   const bool is_prefill = state.endpoint.role == EndpointRole::kPrefill;
   const double other_delays =
       (is_prefill ? 0 : pace.FirstToken()) +
-      (work.what.copied_tokens > 0 ? pace.Copying(work.what.copied_tokens) : 0);
+      (work.what.copied_tokens > 0
+           ? pace.TransferSeconds(work.what.copied_tokens)
+           : 0);
   const double measured = (ToSeconds(took) - other_delays) *
-                          pace.PromptTokens(state.endpoint.role) /
+                          pace.PrefillTokensPerSecond(state.endpoint.role) /
                           static_cast<double>(tokens);
   state.slowness +=
-      kSlownessWeight * (std::clamp(measured, this->options.least_slowness,
-                                    this->options.most_slowness) -
+      kSlownessWeight * (std::clamp(measured, this->options.min_slowness,
+                                    this->options.max_slowness) -
                          state.slowness);
 }
 
-void FleetPlacement::LearnPace(Instant now, const Work& work, State& state) {
+void FleetPlacement::UpdatePace(Instant now, const Work& work, State& state) {
   const Duration took = now - work.sent;
   if (state.endpoint.role == EndpointRole::kPlain) {
     return;
   }
-  EnginePace& pace = this->PaceOf(state.endpoint.service);
-  if (work.what.prompt_read) {
-    pace.OnAnswerAfterReading(took);
+  EnginePace& pace = this->MutablePace(state.endpoint.service);
+  if (work.what.prefilled_elsewhere) {
+    pace.OnFirstTokenAfterHandover(took);
     return;
   }
-  this->LearnSlowness(took, work, state);
+  this->UpdateSlowness(took, work, state);
   pace.OnRead({.role = state.endpoint.role,
                .tokens = work.what.new_tokens,
-               .tokens_before = work.tokens_before,
+               .queued_tokens_before = work.queued_tokens_before,
                .copied_tokens = work.what.copied_tokens,
                .took = took});
 }
 
-void FleetPlacement::OnPromptRead(Instant now, WorkId work) {
+void FleetPlacement::OnPrefillDone(Instant now, WorkId work) {
   const auto found = this->works.find(work);
   if (found == this->works.end() || found->second.read) {
     return;
@@ -595,9 +606,10 @@
   found->second.read = true;
   if (State* state = this->Find(found->second)) {
     state->waiting_tokens -= found->second.what.new_tokens;
-    this->LearnPace(now, found->second, *state);
+    this->UpdatePace(now, found->second, *state);
     for (const PartTokens& part : found->second.parts) {
-      state->cache.Keep(part, this->CacheRoom(state->endpoint.service), true);
+      state->cache.Keep(part, this->CacheCapacity(state->endpoint.service),
+                        true);
     }
   }
 }
@@ -616,7 +628,7 @@
     // It is not known how much was prefilled. An unconfirmed entry would
     // attract the same prompt to this engine again.
     for (const PartTokens& part : ended.mapped().parts) {
-      state->cache.DropUnconfirmed(part.part);
+      state->cache.RemoveUnconfirmed(part.part);
     }
   }
 }
@@ -624,23 +636,23 @@
 void FleetPlacement::OnWrongRole(Instant now, const EndpointId& endpoint) {
   if (const auto found = this->states.find(endpoint);
       found != this->states.end()) {
-    found->second.out_until =
-        std::max(found->second.out_until, now + this->options.role_unknown_for);
+    found->second.excluded_until = std::max(
+        found->second.excluded_until, now + this->options.wrong_role_exclusion);
   }
 }
 
-void FleetPlacement::SetAway(const HostId& host,
-                             std::set<EndpointId> endpoints) {
+void FleetPlacement::SetUnavailable(const HostId& host,
+                                    std::set<EndpointId> endpoints) {
   this->away[host] = std::move(endpoints);
 }
 
-void FleetPlacement::ForgetPeer(const HostId& host) {
+void FleetPlacement::RemovePeer(const HostId& host) {
   this->OnPeerWork(host, {});
   this->peers.erase(host);
   this->away.erase(host);
 }
 
-bool FleetPlacement::IsAway(const EndpointId& endpoint) const {
+bool FleetPlacement::IsUnavailable(const EndpointId& endpoint) const {
   return std::ranges::any_of(this->away, [&endpoint](const auto& entry) {
     return entry.second.contains(endpoint);
   });
@@ -657,27 +669,27 @@
   state.failure_share +=
       kOutcomeWeight * ((good ? 0.0 : 1.0) - state.failure_share);
   if (good) {
-    state.failures_in_row = 0;
+    state.consecutive_failures = 0;
     state.ejection = {};
     return;
   }
-  if (++state.failures_in_row < this->options.failures_to_eject) {
+  if (++state.consecutive_failures < this->options.failures_to_eject) {
     return;
   }
   state.ejection =
       state.ejection == Duration{}
-          ? this->options.eject_for
-          : std::min(state.ejection * 2, this->options.eject_at_most);
-  state.out_until = now + state.ejection;
+          ? this->options.min_ejection
+          : std::min(state.ejection * 2, this->options.max_ejection);
+  state.excluded_until = now + state.ejection;
   // The next failure ejects the endpoint again: one request serves as the
   // probe.
-  state.failures_in_row = this->options.failures_to_eject - 1;
+  state.consecutive_failures = this->options.failures_to_eject - 1;
 }
 
-void FleetPlacement::OnPlainTime(const ServiceId& service, Duration took) {
+void FleetPlacement::OnPlainCallTime(const ServiceId& service, Duration took) {
   const double before = this->PlainSeconds(service);
   this->plain_seconds[service] =
-      before + kPlainWeight * (ToSeconds(took) - before);
+      before + kPlainCallTimeWeight * (ToSeconds(took) - before);
 }
 
 void FleetPlacement::OnPeerWork(const HostId& host,
--- a/packages/decisions/fleet_placement.h
+++ b/packages/decisions/fleet_placement.h
@@ -51,14 +51,14 @@
   ZoneId zone;  // of this host
   // Penalty for an endpoint in another zone, as a share of the request's target
   // latency: request bodies that cross zones are billed.
-  double other_zone = 0.025;
+  double other_zone_cost_share = 0.025;
   // Penalty for an endpoint to which this host has no open connection, as a
   // share of the target latency: new connections are billed.
-  double new_connection = 0.03;
+  double new_connection_cost_share = 0.03;
   // Penalty for handing a prefilled prompt to an engine in another zone, as a
   // share of the prompt's prefill time: the transfer takes twice as long and is
   // billed at a higher rate.
-  double other_zone_handover = 0.15;
+  double other_zone_handover_cost_share = 0.15;
   // Rendezvous hashing of the longest shared part ranks the engines,
   // identically on every host, so that hosts without cache information choose
   // the same engine. Each rank below the first adds the time to prefill this
@@ -76,50 +76,50 @@
   double decode_stall_weight = 0.15;
   // A stall longer than this share of the allowed pause makes all streams of
   // the engine late, which costs `pause_penalty` times that pause.
-  double longest_decode_stall = 0.67;
+  double max_decode_stall_share = 0.67;
   double pause_penalty = 1.67;
   // Mean pause in streams, as a share of the allowed pause, at which long
   // prefills on decode engines start to be penalised, and at which the penalty
   // reaches `pause_penalty` times that pause.
-  double pause_free = 0.5;
-  double pause_full = 1;
+  double pause_penalty_start = 0.5;
+  double pause_penalty_full = 1;
   // Prompts up to this many tokens are exempt from that penalty.
-  int64_t short_prompt = 600;
+  int64_t short_prompt_tokens = 600;
   // Penalty for generating on an engine with all slots taken, as a share of the
   // target latency. It grows with the square of the share of slots taken: with
   // half of them it is a quarter.
-  double full_slots = 0.5;
+  double full_slots_cost_share = 0.5;
   // Penalty for generating on a spot engine, as a share of the target latency:
   // reclaiming the engine breaks its streams. It also keeps spot engines free
   // to change to the prefill role.
-  double spot_streams = 0.1;
+  double spot_decode_cost_share = 0.1;
   // Longest wait for queued prefill, as a share of the target latency. Under
   // overload, a longer queue only makes every request in it late.
-  double longest_wait = 0.75;
+  double max_queue_wait_share = 0.75;
   // Bounds of an engine's slowness, relative to the service's usual rate.
-  double least_slowness = 0.6;
-  double most_slowness = 5;
+  double min_slowness = 0.6;
+  double max_slowness = 5;
   // How long an engine is excluded after it refused a call because of its role:
   // the role change shows in the engine's next heartbeat and the next read of
   // the endpoint list.
-  Duration role_unknown_for = std::chrono::milliseconds(1800);
+  Duration wrong_role_exclusion = std::chrono::milliseconds(1800);
   // Penalty at a failure share of 1.
   Duration failure_penalty = std::chrono::milliseconds(1500);
   // An endpoint is ejected after this many consecutive failures, first for
-  // `eject_for`, then for twice as long each time, up to `eject_at_most`.
+  // `min_ejection`, then for twice as long each time, up to `max_ejection`.
   int64_t failures_to_eject = 3;
-  Duration eject_for = std::chrono::seconds(1);
-  Duration eject_at_most = std::chrono::seconds(8);
+  Duration min_ejection = std::chrono::seconds(1);
+  Duration max_ejection = std::chrono::seconds(8);
   // Duration of a plain service's call until the first measurement.
-  Duration plain_time = std::chrono::milliseconds(60);
+  Duration default_plain_call_time = std::chrono::milliseconds(60);
   // Calls that may queue per slot at an endpoint of a plain service.
-  double plain_queue = 3;
+  double plain_queue_per_slot = 3;
 };
 
 // A service's limits and targets, as they apply to this host.
-struct ServiceShare {
+struct ServiceParameters {
   // Concurrent requests from this host per endpoint.
-  int64_t requests_at_once = INT64_MAX;
+  int64_t max_concurrent_requests = INT64_MAX;
   // Prompt tokens that an engine caches; 0: unknown.
   int64_t cache_tokens = 0;
   // Tokens per second that engines transfer from each other; 0: unknown.
@@ -127,11 +127,11 @@
   // Longest pause in a stream that is still on time; 0: unknown.
   Duration pause_target{};
 
-  auto operator<=>(const ServiceShare&) const = default;
+  auto operator<=>(const ServiceParameters&) const = default;
 };
 
 // The properties of a request that placement uses.
-struct WorkShape {
+struct RequestProfile {
   ServiceId service;
   bool engine = false;
   int64_t prompt_tokens = 0;
@@ -144,12 +144,12 @@
   // is not refused because of a long queue.
   bool begun = false;
 
-  auto operator<=>(const WorkShape&) const = default;
+  auto operator<=>(const RequestProfile&) const = default;
 };
 
 // The endpoint for a request. If `prefill_endpoint` is set, that engine
 // prefills the prompt and hands it over to `endpoint`, which generates.
-struct Placed {
+struct PlacementTarget {
   EndpointId endpoint;
   std::optional<EndpointId> reader;     // prefills the prompt
   std::optional<EndpointId> copy_from;  // source of the cached prefix
@@ -157,7 +157,7 @@
   int64_t copied_tokens = 0;            // transferred from `copy_from`
   Duration expected{};                  // time to the first byte
 
-  auto operator<=>(const Placed&) const = default;
+  auto operator<=>(const PlacementTarget&) const = default;
 };
 
 // Why a request is refused, and after how long the caller may retry.
@@ -168,7 +168,7 @@
   auto operator<=>(const Refused&) const = default;
 };
 
-using Verdict = std::variant<Placed, Refused>;
+using PlacementResult = std::variant<PlacementTarget, Refused>;
 
 // Identifies a request at an endpoint; 0: none.
 using WorkId = uint64_t;
@@ -177,7 +177,8 @@
 struct SentWork {
   int64_t new_tokens = 0;     // to prefill
   int64_t copied_tokens = 0;  // transferred from another engine
-  bool prompt_read = false;   // prefilled by another engine and handed over
+  bool prefilled_elsewhere =
+      false;  // prefilled by another engine and handed over
 
   auto operator<=>(const SentWork&) const = default;
 };
@@ -204,19 +205,20 @@
   }
 
   // Replaces a service's parameters.
-  void SetServiceShare(const ServiceId& service, const ServiceShare& share);
+  void SetServiceParameters(const ServiceId& service,
+                            const ServiceParameters& share);
 
   // Selects an endpoint that is not in `tried`, the endpoints at which the
   // request was already attempted.
-  Verdict Place(Instant now,
-                const WorkShape& shape,
-                const std::set<EndpointId>& tried) const;
+  PlacementResult Place(Instant now,
+                        const RequestProfile& shape,
+                        const std::set<EndpointId>& tried) const;
 
   // Selects the engine that generates, after `prefill_endpoint` has prefilled
   // the prompt.
   std::optional<EndpointId> PlaceAnswer(
       Instant now,
-      const WorkShape& shape,
+      const RequestProfile& shape,
       const EndpointId& prefill_endpoint,
       const std::set<EndpointId>& tried) const;
 
@@ -231,11 +233,11 @@
   // Records that a request was sent to an endpoint.
   WorkId OnSent(Instant now,
                 const EndpointId& endpoint,
-                const WorkShape& shape,
+                const RequestProfile& shape,
                 const SentWork& sent);
 
   // Records that the prompt is prefilled: the first byte of the answer arrived.
-  void OnPromptRead(Instant now, WorkId work);
+  void OnPrefillDone(Instant now, WorkId work);
 
   // Records that the request ended.
   void OnEnded(Instant now, WorkId work);
@@ -246,13 +248,13 @@
 
   // Excludes endpoints that another host reports as unavailable. Replaces that
   // host's previous report.
-  void SetAway(const HostId& host, std::set<EndpointId> endpoints);
+  void SetUnavailable(const HostId& host, std::set<EndpointId> endpoints);
 
   // Updates an engine's cached part from a cache event; `tokens` 0: evicted.
   void OnCache(const EndpointId& endpoint, const PartTokens& part);
 
   // Clears the engine's cache contents, which are then reported anew.
-  void ForgetCache(const EndpointId& endpoint);
+  void ClearCache(const EndpointId& endpoint);
 
   // Whether the run is the listed run of its endpoint.
   bool Knows(const EndpointRun& run) const;
@@ -269,18 +271,19 @@
   void OnOutcome(Instant now, const EndpointId& endpoint, bool good);
 
   // Records the duration of a plain service's call.
-  void OnPlainTime(const ServiceId& service, Duration took);
+  void OnPlainCallTime(const ServiceId& service, Duration took);
 
   // Replaces the outstanding work that another host has reported.
   void OnPeerWork(const HostId& host,
                   const std::vector<EndpointOutstanding>& work);
-  void ForgetPeer(const HostId& host);
+  void RemovePeer(const HostId& host);
 
   // This host's outstanding work, to be reported to other hosts.
   std::vector<EndpointOutstanding> OwnWork() const;
 
   // Prompt tokens that an endpoint would have to prefill.
-  int64_t NewTokens(const EndpointId& endpoint, const WorkShape& shape) const;
+  int64_t NewTokens(const EndpointId& endpoint,
+                    const RequestProfile& shape) const;
 
   // Whether an endpoint accepts new requests.
   bool Usable(Instant now, const EndpointId& endpoint) const;
@@ -304,15 +307,16 @@
     int64_t running = 0;         // requests of this host
     double slowness = 1;         // measured prefill time / usual prefill time
     double failure_share = 0;
-    int64_t failures_in_row = 0;
+    int64_t consecutive_failures = 0;
     Duration ejection{};
-    Instant out_until{};
+    Instant excluded_until{};
   };
   struct Work {
     EndpointId endpoint;
     int64_t started = 0;  // the endpoint's start, from EndpointRun
     SentWork what;
-    int64_t tokens_before = 0;  // prefill tokens queued there when it was sent
+    int64_t queued_tokens_before =
+        0;  // prefill tokens queued there when it was sent
     std::vector<PartTokens> parts;
     Instant sent{};
     bool read = false;
@@ -333,7 +337,7 @@
     ZoneId zone;
     int64_t tokens = 0;
   };
-  struct Weighed {
+  struct ScoredEndpoint {
     EndpointId endpoint;
     double score = 0;
     double seconds = 0;  // to the first byte
@@ -345,23 +349,25 @@
 
   bool Takes(Instant now,
              const State& state,
-             const WorkShape& shape,
+             const RequestProfile& shape,
              const std::set<EndpointId>& tried) const;
-  Source BestSource(const WorkShape& shape) const;
-  Weighed WeighEngine(Instant now,
-                      const State& state,
-                      const WorkShape& shape,
-                      const Source& source) const;
-  void AddRendezvousPenalty(const WorkShape& shape,
-                            std::vector<Weighed>& weighed) const;
-  std::optional<Refused> RefuseIfTooLate(const WorkShape& shape,
-                                         const std::vector<Weighed>& weighed,
-                                         const Weighed& best) const;
-  Weighed WeighPlain(const State& state, const WorkShape& shape) const;
-  int64_t CacheRoom(const ServiceId& service) const;
+  Source BestSource(const RequestProfile& shape) const;
+  ScoredEndpoint ScoreEngine(Instant now,
+                             const State& state,
+                             const RequestProfile& shape,
+                             const Source& source) const;
+  void AddRendezvousPenalty(const RequestProfile& shape,
+                            std::vector<ScoredEndpoint>& weighed) const;
+  std::optional<Refused> RefuseIfTooLate(
+      const RequestProfile& shape,
+      const std::vector<ScoredEndpoint>& weighed,
+      const ScoredEndpoint& best) const;
+  ScoredEndpoint ScorePlainEndpoint(const State& state,
+                                    const RequestProfile& shape) const;
+  int64_t CacheCapacity(const ServiceId& service) const;
   double Rate(const State& state) const;
-  double Penalty(const State& state, const WorkShape& shape) const;
-  double StreamPenalty(const State& state, const WorkShape& shape) const;
+  double Penalty(const State& state, const RequestProfile& shape) const;
+  double StreamPenalty(const State& state, const RequestProfile& shape) const;
   // Prefill of a prompt at an engine.
   struct Reading {
     int64_t tokens = 0;  // to prefill
@@ -370,16 +376,16 @@
   };
   double DecodeStall(Instant now,
                      const State& state,
-                     const WorkShape& shape,
+                     const RequestProfile& shape,
                      const Reading& reading) const;
   double PauseShare(Instant now, const ServiceId& service, double target) const;
   EndpointOutstanding PeerWork(const EndpointId& endpoint) const;
   void AddPeerWork(const std::vector<EndpointOutstanding>& work, int64_t sign);
-  EnginePace& PaceOf(const ServiceId& service);
+  EnginePace& MutablePace(const ServiceId& service);
   State* Find(const Work& work);
-  bool IsAway(const EndpointId& endpoint) const;
-  void LearnPace(Instant now, const Work& work, State& state);
-  void LearnSlowness(Duration took, const Work& work, State& state);
+  bool IsUnavailable(const EndpointId& endpoint) const;
+  void UpdatePace(Instant now, const Work& work, State& state);
+  void UpdateSlowness(Duration took, const Work& work, State& state);
   double PlainSeconds(const ServiceId& service) const;
 
   PlacementOptions options;
@@ -390,7 +396,7 @@
   std::map<EndpointId, EndpointOutstanding> peer_totals;  // sums over `peers`
   std::map<HostId, std::set<EndpointId>> away;
   std::map<ServiceId, double> plain_seconds;
-  std::map<ServiceId, ServiceShare> shares;
+  std::map<ServiceId, ServiceParameters> shares;
   std::map<ServiceId, Overload> overloads;
   std::map<ServiceId, Pauses> pauses;
   std::map<ServiceId, EnginePace> paces;
--- a/packages/decisions/window_budget.cc
+++ b/packages/decisions/fleet_retry_budget.cc
@@ -1,14 +1,14 @@
-#include "decisions/window_budget.h"
+#include "decisions/fleet_retry_budget.h"
 
 namespace hickorystand {
 
-void WindowBudget::OnRequest(Instant now, const ServiceId& service) {
+void FleetRetryBudget::OnRequest(Instant now, const ServiceId& service) {
   auto& requests = this->counts[service].requests;
   this->Forget(now, requests);
   requests.push_back(now);
 }
 
-bool WindowBudget::Take(Instant now, const ServiceId& service) {
+bool FleetRetryBudget::Take(Instant now, const ServiceId& service) {
   Count& count = this->counts[service];
   this->Forget(now, count.requests);
   this->Forget(now, count.repeats);
@@ -16,7 +16,7 @@
       this->hosts == 0
           ? 0
           : this->options.slack /
-                (kHostsForEachListed * static_cast<double>(this->hosts));
+                (kSlackPartsPerHost * static_cast<double>(this->hosts));
   const double allowed =
       this->options.share * static_cast<double>(count.requests.size()) + slack;
   if (static_cast<double>(count.repeats.size()) + 1 > allowed) {
@@ -26,7 +26,7 @@
   return true;
 }
 
-void WindowBudget::Forget(Instant now, std::deque<Instant>& times) const {
+void FleetRetryBudget::Forget(Instant now, std::deque<Instant>& times) const {
   while (!times.empty() && now - times.front() >= this->options.window) {
     times.pop_front();
   }
--- a/packages/decisions/window_budget.h
+++ b/packages/decisions/fleet_retry_budget.h
@@ -14,26 +14,26 @@
 
 namespace hickorystand {
 
-struct WindowBudgetOptions {
+struct FleetRetryBudgetOptions {
   Duration window = std::chrono::seconds(10);
   double share = 0.2;  // retries per request
   double slack = 0;    // additional retries of all hosts per window
 
-  auto operator<=>(const WindowBudgetOptions&) const = default;
+  auto operator<=>(const FleetRetryBudgetOptions&) const = default;
 };
 
 // The slack is divided into this many parts per listed host. A host that is
 // restarted or replaced within a window starts with its part unspent; with 2
 // parts, half of the fleet may do so without exceeding the slack.
-constexpr double kHostsForEachListed = 2;
+constexpr double kSlackPartsPerHost = 2;
 
 // Counts requests and retries by service.
-class WindowBudget {
+class FleetRetryBudget {
  public:
-  explicit WindowBudget(const WindowBudgetOptions& options = {})
+  explicit FleetRetryBudget(const FleetRetryBudgetOptions& options = {})
       : options(options) {}
 
-  void SetOptions(const WindowBudgetOptions& changed) {
+  void SetOptions(const FleetRetryBudgetOptions& changed) {
     this->options = changed;
   }
 
@@ -55,7 +55,7 @@
 
   void Forget(Instant now, std::deque<Instant>& times) const;
 
-  WindowBudgetOptions options;
+  FleetRetryBudgetOptions options;
   int64_t hosts = 0;
   std::map<ServiceId, Count> counts;
 };
--- a/packages/decisions/fleet_topology.cc
+++ b/packages/decisions/fleet_topology.cc
@@ -75,7 +75,7 @@
 
 bool IsMuchWeaker(int64_t capacity, int64_t other) {
   return static_cast<double>(capacity) <
-         kMuchWeaker * static_cast<double>(other);
+         kMuchWeakerShare * static_cast<double>(other);
 }
 
 std::set<HostId> PlanSchedulers(const std::vector<FleetHost>& hosts,
@@ -94,7 +94,7 @@
     for (const FleetHost& host : members) {
       const bool weak = IsMuchWeaker(host.capacity, members.front().capacity);
       const size_t least =
-          weak ? options.least_strong_schedulers : options.least_schedulers;
+          weak ? options.min_strong_schedulers : options.min_schedulers;
       if (count >= least && capacity >= wanted) {
         break;
       }
@@ -129,11 +129,12 @@
     (is_near ? near : is_weak(host) ? weak_far : strong_far).push_back(host);
   }
   std::vector<FleetHost> picked =
-      Nearest(self.id, near, links.linked, options.near_links);
+      Nearest(self.id, near, links.linked, options.own_zone_links);
   const size_t strong =
       picked.size() -
       static_cast<size_t>(std::ranges::count_if(picked, is_weak));
-  const size_t wanted = options.far_links + options.near_links - strong;
+  const size_t wanted =
+      options.other_zone_links + options.own_zone_links - strong;
   const auto first = Nearest(self.id, strong_far, links.linked, wanted);
   const auto rest =
       Nearest(self.id, weak_far, links.linked, wanted - first.size());
--- a/packages/decisions/fleet_topology.h
+++ b/packages/decisions/fleet_topology.h
@@ -45,19 +45,19 @@
 Result<FleetHost> DecodeFleetHost(const HostId& id, const std::string& text);
 
 // A host is much weaker than another one below this share of its capacity.
-inline constexpr double kMuchWeaker = 0.34;
+inline constexpr double kMuchWeakerShare = 0.34;
 
 // Numbers of schedulers and of links to them.
 struct FleetTopologyOptions {
   // Fewest schedulers per zone, if it has that many hosts; and fewest
   // schedulers if the next one is much weaker than the strongest.
-  size_t least_schedulers = 3;
-  size_t least_strong_schedulers = 2;
+  size_t min_schedulers = 3;
+  size_t min_strong_schedulers = 2;
   double capacity_share = 0.2;  // of a zone's capacity, at schedulers
   // Schedulers that an ingress host links to: in its own zone, and in other
   // zones, which serve while none in its own zone is available.
-  size_t near_links = 3;
-  size_t far_links = 1;
+  size_t own_zone_links = 3;
+  size_t other_zone_links = 1;
 
   auto operator<=>(const FleetTopologyOptions&) const = default;
 };
--- a/packages/decisions/hickorystand_dispatcher.cc
+++ b/packages/decisions/hickorystand_dispatcher.cc
@@ -13,11 +13,11 @@
 constexpr int64_t kMaxBatchTries = 12;
 constexpr size_t kHeadsPerAccount = 4;
 constexpr size_t kHeadsTried = 16;
-constexpr Duration kLeastWorkAge = std::chrono::seconds(1);
-constexpr Duration kResumeWait = std::chrono::seconds(10);
+constexpr Duration kLeastWorkMaxAge = std::chrono::seconds(1);
+constexpr Duration kResumeTimeout = std::chrono::seconds(10);
 constexpr double kLookupGain = 0.05;
-constexpr double kHedgeAfter = 3;  // times the smoothed response time
-constexpr Duration kShortestHedge = std::chrono::milliseconds(30);
+constexpr double kHedgeDelayFactor = 3;  // times the smoothed response time
+constexpr Duration kMinHedgeDelay = std::chrono::milliseconds(30);
 constexpr Duration kExpiryHorizon = std::chrono::seconds(1);
 
 bool SurelyNotRun(AttemptOutcome outcome) {
@@ -60,7 +60,7 @@
 
 // --- Arrival ---------------------------------------------------------------
 
-std::optional<Error> HickorystandDispatcher::ReasonToRefuse(
+std::optional<Error> HickorystandDispatcher::CheckAdmission(
     Instant now,
     const Request& request) {
   const auto retry_after = [&] {
@@ -76,7 +76,7 @@
   // A repeated non-idempotent request is refused by its claim instead: this
   // error states that the request has not run, which would be wrong.
   if (request.request_class != RequestClass::kOnce &&
-      this->suspects.IsCondemned(now, request.fingerprint)) {
+      this->suspects.IsBlocked(now, request.fingerprint)) {
     return Error{ErrorKind::kSuspectRequest,
                  "this request crashed the endpoints that ran it",
                  {}};
@@ -98,11 +98,11 @@
       static_cast<double>(request.prompt_tokens) +
       this->router.DecodeWeight() * static_cast<double>(request.output_tokens);
   const double first_token_seconds =
-      this->router.BestSeconds(now, request).value_or(0);
+      this->router.BestFirstTokenSeconds(now, request).value_or(0);
   const double queue_seconds =
       this->admission.ExpectedWaitSeconds(request, cost);
-  if (!this->admission.Meetable(now, request,
-                                queue_seconds + first_token_seconds)) {
+  if (!this->admission.CanMeetDeadline(now, request,
+                                       queue_seconds + first_token_seconds)) {
     return Error{ErrorKind::kDeadlineUnmeetable,
                  "the answer would come after its deadline", retry_after()};
   }
@@ -113,7 +113,7 @@
                                                const Request& request) {
   assert(!this->live.contains(request.id) &&
          "request id is already in use on this host");
-  if (std::optional<Error> error = this->ReasonToRefuse(now, request)) {
+  if (std::optional<Error> error = this->CheckAdmission(now, request)) {
     return {Dispatch{.kind = DispatchKind::kRefuse,
                      .request = request.id,
                      .reason = "refused on arrival",
@@ -140,19 +140,19 @@
                                      bool requeued) {
   active.state = State::kQueued;
   this->admission.Enqueue(now, active.request, cost, requeued);
-  if (this->MayBeRefused(active)) {
+  if (this->CanExpire(active)) {
     this->expiries.emplace(active.expires, active.request.id);
   }
 }
 
 // Batch requests have no time limit in the queue.
-bool HickorystandDispatcher::MayBeRefused(const Live& active) const {
+bool HickorystandDispatcher::CanExpire(const Live& active) const {
   return active.request.request_class != RequestClass::kBatch;
 }
 
 // Whether the request must restart at once, even on a full endpoint: its claim
 // is already recorded, or its caller has received part of the answer.
-bool HickorystandDispatcher::CannotWait(const Live& active) const {
+bool HickorystandDispatcher::MustStartNow(const Live& active) const {
   return active.granted || active.delivered > 0;
 }
 
@@ -166,12 +166,12 @@
         this->admission.Heads(now, service, kHeadsPerAccount);
     started = std::ranges::any_of(
         heads | std::views::take(kHeadsTried),
-        [&](const Waiting& head) { return this->StartHead(now, head, out); });
+        [&](const Waiting& head) { return this->TryStart(now, head, out); });
   }
 }
 
 RouteQuery HickorystandDispatcher::QueryFor(Instant now, Live& active) {
-  if (active.least_work == 0 || now - active.least_work_at > kLeastWorkAge) {
+  if (active.least_work == 0 || now - active.least_work_at > kLeastWorkMaxAge) {
     active.least_work = this->router.LeastWork(now, active.request);
     active.least_work_at = now;
   }
@@ -180,17 +180,17 @@
       this->suspects.IsSuspected(now, active.request.fingerprint);
   return {.request = &active.request,
           .suspect = suspect,
-          .ignore_room = this->CannotWait(active),
+          .ignore_room = this->MustStartNow(active),
           .least_work = active.least_work,
           .avoid = active.avoid,
           .avoid_zones = active.avoid_zones};
 }
 
-bool HickorystandDispatcher::StartHead(Instant now,
-                                       const Waiting& head,
-                                       DispatchList& out) {
+bool HickorystandDispatcher::TryStart(Instant now,
+                                      const Waiting& head,
+                                      DispatchList& out) {
   Live& active = this->live.at(head.request);
-  if (!this->CannotWait(active) &&
+  if (!this->MustStartNow(active) &&
       !this->router.HasRoomFor(now, head.service)) {
     return false;
   }
@@ -342,7 +342,7 @@
 
 // Records one crash for all attempts that this host has on the endpoint, since
 // their results arrive one by one.
-void HickorystandDispatcher::NoteCrash(Instant now, Attempt& attempt) {
+void HickorystandDispatcher::RecordCrash(Instant now, Attempt& attempt) {
   if (attempt.crash_counted) {
     return;
   }
@@ -366,9 +366,9 @@
 }
 
 // Replaces the cost estimated on arrival by the cost actually used.
-void HickorystandDispatcher::Recharge(Live& active, double used) {
+void HickorystandDispatcher::ReconcileCost(Live& active, double used) {
   if (active.started) {
-    this->admission.Correct(active.request.account, used - active.charged);
+    this->admission.AdjustCost(active.request.account, used - active.charged);
     active.charged = used;
   }
 }
@@ -380,7 +380,7 @@
     return {};
   }
   if (result.outcome == AttemptOutcome::kCrashed) {
-    this->NoteCrash(now, found->second);
+    this->RecordCrash(now, found->second);
   }
   const Attempt attempt = found->second;
   Live& active = this->live.at(attempt.request);
@@ -401,8 +401,9 @@
       [[fallthrough]];
     case AttemptOutcome::kRejected:
       this->CancelOthers(now, active, result.attempt, out);
-      this->Recharge(active, this->UsedCost(active) -
-                                 static_cast<double>(result.cached_tokens));
+      this->ReconcileCost(
+          active,
+          this->UsedCost(active) - static_cast<double>(result.cached_tokens));
       this->Finish(active, "answered", out);
       break;
     case AttemptOutcome::kCancelled:
@@ -441,7 +442,7 @@
   const bool batch = request_class == RequestClass::kBatch;
   if (active.tries >= (batch ? kMaxBatchTries : kMaxTries) || too_late ||
       (active.delivered > 0 && !resumable) ||
-      this->suspects.IsCondemned(now, active.request.fingerprint)) {
+      this->suspects.IsBlocked(now, active.request.fingerprint)) {
     this->GiveUp(active, out);
     return;
   }
@@ -449,9 +450,9 @@
   // Retry-After. Not so if part of the answer was delivered, since the caller
   // can't obtain the rest by a retry, or if the endpoint only refused the
   // request, since it will have room shortly.
-  const bool no_alternative = active.delivered == 0 && !batch &&
-                              outcome != AttemptOutcome::kRefused &&
-                              !this->router.HasOther(now, active.request, {});
+  const bool no_alternative =
+      active.delivered == 0 && !batch && outcome != AttemptOutcome::kRefused &&
+      !this->router.HasAlternative(now, active.request, {});
   const bool has_budget = !no_alternative && this->retries.Take(now);
   if (!has_budget && !batch) {
     this->GiveUp(active, out);
@@ -463,7 +464,7 @@
     active.avoid_zones.insert(view->endpoint.zone);
   }
   if (active.delivered > 0) {
-    active.expires = now + kResumeWait;
+    active.expires = now + kResumeTimeout;
   }
   this->admission.Ended(active.request.account);
   if (has_budget) {
@@ -522,7 +523,7 @@
   if (AnswerFor(kind).retry) {
     retry_after = this->admission.RetryAfter(active.request.service);
   }
-  this->Recharge(active, this->UsedCost(active));
+  this->ReconcileCost(active, this->UsedCost(active));
   const RequestId request = active.request.id;
   this->Forget(request);
   out.push_back({.kind = DispatchKind::kRefuse,
@@ -544,8 +545,9 @@
   }
 }
 
-DispatchList HickorystandDispatcher::OnCallerGone(Instant now,
-                                                  const RequestId& request) {
+DispatchList HickorystandDispatcher::OnCallerDisconnected(
+    Instant now,
+    const RequestId& request) {
   const auto found = this->live.find(request);
   if (found == this->live.end()) {
     return {};
@@ -559,7 +561,7 @@
   }
   DispatchList out;
   this->CancelOthers(now, active, 0, out);
-  this->Recharge(active, this->UsedCost(active));
+  this->ReconcileCost(active, this->UsedCost(active));
   this->Forget(request);
   return out;
 }
@@ -590,9 +592,9 @@
   return {};
 }
 
-void HickorystandDispatcher::OnHostGone(Instant, const HostId& host) {
-  this->router.OnHostGone(host);
-  this->admission.OnHostGone(host);
+void HickorystandDispatcher::OnHostLost(Instant, const HostId& host) {
+  this->router.OnHostLost(host);
+  this->admission.OnHostLost(host);
 }
 
 void HickorystandDispatcher::RefuseExpired(Instant now, DispatchList& out) {
@@ -603,7 +605,8 @@
     const bool fresh = active.delivered == 0;
     const double first_token_seconds =
         fresh && this->policy.admission.refuse_unmeetable
-            ? this->router.BestSeconds(now, active.request).value_or(0)
+            ? this->router.BestFirstTokenSeconds(now, active.request)
+                  .value_or(0)
             : 0;
     if (now + FromSeconds(first_token_seconds) < active.expires) {
       continue;
@@ -621,8 +624,8 @@
   if (!this->policy.hedge_lookups) {
     return;
   }
-  const Duration hedge_delay =
-      std::max(kShortestHedge, FromSeconds(this->lookup_seconds * kHedgeAfter));
+  const Duration hedge_delay = std::max(
+      kMinHedgeDelay, FromSeconds(this->lookup_seconds * kHedgeDelayFactor));
   const std::vector<RequestId> running(this->lookups.begin(),
                                        this->lookups.end());
   for (const RequestId& request : running) {
--- a/packages/decisions/hickorystand_dispatcher.h
+++ b/packages/decisions/hickorystand_dispatcher.h
@@ -60,11 +60,12 @@
                           AttemptId attempt,
                           int64_t generated_tokens) override;
   DispatchList OnResult(Instant now, const AttemptResult& result) override;
-  DispatchList OnCallerGone(Instant now, const RequestId& request) override;
+  DispatchList OnCallerDisconnected(Instant now,
+                                    const RequestId& request) override;
   DispatchList OnLoad(Instant now, const LoadReport& report) override;
   void OnCache(Instant now, const CacheEvent& event) override;
   DispatchList OnDigest(Instant now, const Digest& digest) override;
-  void OnHostGone(Instant now, const HostId& host) override;
+  void OnHostLost(Instant now, const HostId& host) override;
   DispatchList OnTick(Instant now) override;
   void StartDrain() override;
   void FillDigest(Digest& digest) const override;
@@ -112,12 +113,12 @@
   };
 
   // The error to refuse a new request with, or none if it is admitted.
-  std::optional<Error> ReasonToRefuse(Instant now, const Request& request);
+  std::optional<Error> CheckAdmission(Instant now, const Request& request);
 
   void Enqueue(Instant now, Live& active, double cost, bool requeued);
   // Starts queued requests as long as there is room.
   void Pump(Instant now, const ServiceId& service, DispatchList& out);
-  bool StartHead(Instant now, const Waiting& head, DispatchList& out);
+  bool TryStart(Instant now, const Waiting& head, DispatchList& out);
   void Send(Instant now,
             Live& active,
             const Route& route,
@@ -143,14 +144,14 @@
                     AttemptId keep,
                     DispatchList& out);
   void EndAttempt(Instant now, AttemptId attempt, AttemptOutcome outcome);
-  void NoteCrash(Instant now, Attempt& attempt);
+  void RecordCrash(Instant now, Attempt& attempt);
   double UsedCost(const Live& active) const;
-  void Recharge(Live& active, double used);
+  void ReconcileCost(Live& active, double used);
 
   void RefuseExpired(Instant now, DispatchList& out);
   void HedgeLookups(Instant now, DispatchList& out);
-  bool MayBeRefused(const Live& active) const;
-  bool CannotWait(const Live& active) const;
+  bool CanExpire(const Live& active) const;
+  bool MustStartNow(const Live& active) const;
   void RetryParked(Instant now);
 
   DispatcherOptions options;
--- a/packages/decisions/lease.cc
+++ b/packages/decisions/lease.cc
@@ -97,7 +97,7 @@
                          CallTag tag,
                          const StoreReply& reply,
                          std::vector<LeaseAction>& out) {
-  if (!this->TakeReply(tag)) {
+  if (!this->AcceptReply(tag)) {
     return false;
   }
   switch (this->state) {
@@ -108,7 +108,7 @@
       this->OnCreated(now, reply, out);
       break;
     case State::kReadingBack:
-      this->JudgeRecord(now, reply, out);
+      this->DecideByRecord(now, reply, out);
       break;
     case State::kReleasing:
       this->OnReleased(now, reply, out);
@@ -124,7 +124,7 @@
                            CallTag tag,
                            const Result<int64_t>& lease,
                            std::vector<LeaseAction>& out) {
-  if (!this->TakeReply(tag)) {
+  if (!this->AcceptReply(tag)) {
     // Granted after the call timed out: no record is bound to it.
     if (lease) {
       out.emplace_back(RevokeLease{.lease = *lease});
@@ -158,7 +158,7 @@
     }
     return true;  // any other failure: retried at the next tick
   }
-  this->counted_from = sent_at;
+  this->term_start = sent_at;
   this->valid_until = std::max(
       this->valid_until, sent_at + std::min(*remaining, this->options.length) -
                              this->options.margin);
@@ -220,7 +220,7 @@
   this->Follow(now, out);
 }
 
-bool Lease::TakeReply(CallTag tag) {
+bool Lease::AcceptReply(CallTag tag) {
   if (!this->call || this->call->tag != tag) {
     return false;
   }
@@ -261,7 +261,7 @@
     return;
   }
   this->state = State::kGranting;
-  this->counted_from = now;
+  this->term_start = now;
   out.emplace_back(
       GrantLease{.tag = this->Ask(now), .length = this->options.length});
 }
@@ -327,7 +327,7 @@
       FindRecord(reply, LeaseKey(data_centre)) == nullptr) {
     this->Create(now, release, out);
   } else {
-    this->JudgeRecord(now, reply, out);
+    this->DecideByRecord(now, reply, out);
   }
 }
 
@@ -336,9 +336,9 @@
   this->ReadRecord(now, out);
 }
 
-void Lease::JudgeRecord(Instant now,
-                        const StoreReply& reply,
-                        std::vector<LeaseAction>& out) {
+void Lease::DecideByRecord(Instant now,
+                           const StoreReply& reply,
+                           std::vector<LeaseAction>& out) {
   const bool answered = reply.outcome == StoreOutcome::kThen ||
                         reply.outcome == StoreOutcome::kOtherwise;
   const StoreRecord* record =
@@ -363,8 +363,8 @@
   this->fencing = fencing;
   this->last_holder = this->options.host.Text();
   this->valid_until =
-      this->counted_from + this->options.length - this->options.margin;
-  this->next_call = this->counted_from + this->options.renew_every;
+      this->term_start + this->options.length - this->options.margin;
+  this->next_call = this->term_start + this->options.renew_every;
   if (!this->MayAct(now)) {
     this->Lose(now, out);  // the replies took longer than the lease
   }
--- a/packages/decisions/lease.h
+++ b/packages/decisions/lease.h
@@ -203,7 +203,7 @@
     Instant asked{};
   };
 
-  bool TakeReply(CallTag tag);
+  bool AcceptReply(CallTag tag);
   CallTag Ask(Instant now);
   void Poll(Instant now, std::vector<LeaseAction>& out);
   void ReadRecord(Instant now, std::vector<LeaseAction>& out);
@@ -223,9 +223,9 @@
                   const StoreReply& reply,
                   std::vector<LeaseAction>& out);
   void ReadBack(Instant now, std::vector<LeaseAction>& out);
-  void JudgeRecord(Instant now,
-                   const StoreReply& reply,
-                   std::vector<LeaseAction>& out);
+  void DecideByRecord(Instant now,
+                      const StoreReply& reply,
+                      std::vector<LeaseAction>& out);
   void Take(Instant now, int64_t fencing, std::vector<LeaseAction>& out);
   void Follow(Instant now, std::vector<LeaseAction>& out);
 
@@ -239,7 +239,7 @@
   std::string token;  // unique to each attempt to create the record
   std::optional<LeaseRelease> released;  // deleted by that attempt
   std::string last_holder;
-  Instant counted_from{};  // when the last grant or renewal was sent
+  Instant term_start{};  // when the last grant or renewal was sent
   Instant valid_until{};
   Instant next_call{};
   std::optional<Call> call;
--- a/packages/decisions/limit_shares.cc
+++ b/packages/decisions/limit_shares.cc
@@ -128,7 +128,7 @@
     // With no holder in the record, no other host has a share.
     const HolderState first =
         changed.empty() ? HolderState::kActive : HolderState::kJoining;
-    if (changed.empty() && this->options.names_listed) {
+    if (changed.empty() && this->options.seed_listed_hosts) {
       for (const HostId& host : present) {
         if (host != this->self) {
           changed.push_back({.host = host, .state = first});
@@ -208,7 +208,7 @@
     return;
   }
   if (call == Call::kRead || reply.outcome == StoreOutcome::kOtherwise) {
-    this->TakeRecord(now, requested_at, FindRecord(reply, this->options.key));
+    this->ApplyRecord(now, requested_at, FindRecord(reply, this->options.key));
     return;
   }
   this->revision = reply.revision;
@@ -220,12 +220,12 @@
     return;
   }
   this->written = true;
-  this->TakeHolders(now, requested_at);
+  this->ApplyHolders(now, requested_at);
 }
 
-void LimitShares::TakeRecord(Instant now,
-                             Instant requested_at,
-                             const StoreRecord* record) {
+void LimitShares::ApplyRecord(Instant now,
+                              Instant requested_at,
+                              const StoreRecord* record) {
   // A malformed record gives no host a share. It stands for one leaving holder
   // that never acknowledges, so the next joining host replaces it and becomes
   // active only after all shares of the former holders have expired.
@@ -241,10 +241,10 @@
   this->listed = this->Find(this->self) != nullptr;
   this->next_call =
       this->started ? requested_at + this->options.poll : Instant{};
-  this->TakeHolders(now, requested_at);
+  this->ApplyHolders(now, requested_at);
 }
 
-void LimitShares::TakeHolders(Instant now, Instant requested_at) {
+void LimitShares::ApplyHolders(Instant now, Instant requested_at) {
   this->known = true;
   const LimitHolder* own = this->Find(this->self);
   if (own == nullptr) {
--- a/packages/decisions/limit_shares.h
+++ b/packages/decisions/limit_shares.h
@@ -73,7 +73,7 @@
   // Every listed host holds a share. The first record then lists all of them
   // as active, so that they don't wait for acknowledgements of hosts that they
   // aren't linked with.
-  bool names_listed = false;
+  bool seed_listed_hosts = false;
 
   auto operator<=>(const LimitSharesOptions&) const = default;
 };
@@ -126,8 +126,10 @@
   std::optional<StoreTransaction> CleanUp(Instant now,
                                           const std::set<HostId>& present);
   bool MayActivate(Instant now) const;
-  void TakeRecord(Instant now, Instant requested_at, const StoreRecord* record);
-  void TakeHolders(Instant now, Instant requested_at);
+  void ApplyRecord(Instant now,
+                   Instant requested_at,
+                   const StoreRecord* record);
+  void ApplyHolders(Instant now, Instant requested_at);
 
   HostId self;
   LimitSharesOptions options;
--- a/packages/decisions/membership.cc
+++ b/packages/decisions/membership.cc
@@ -55,11 +55,11 @@
   });
 }
 
-Heard Membership::OnHeard(Instant now,
-                          const HostId& host,
-                          const DataCentreId& data_centre,
-                          uint64_t incarnation,
-                          bool leaving) {
+Heard Membership::OnHostMessage(Instant now,
+                                const HostId& host,
+                                const DataCentreId& data_centre,
+                                uint64_t incarnation,
+                                bool leaving) {
   if (host == this->options.self.host) {
     this->superseded |= incarnation > this->options.incarnation;
     return Heard::kSelf;
@@ -81,7 +81,8 @@
   record.heard = now;
   // Within one incarnation "leaving" is final: a "live" after it comes from a
   // delayed message or the lagging list.
-  record.leaving = leaving || (this->options.leaving_wins && record.leaving);
+  record.leaving =
+      leaving || (this->options.leaving_is_final && record.leaving);
   return Heard::kCurrent;
 }
 
@@ -148,8 +149,9 @@
   return members;
 }
 
-std::vector<HostId> Membership::Fit(Instant now,
-                                    const DataCentreId& data_centre) const {
+std::vector<HostId> Membership::EligibleHosts(
+    Instant now,
+    const DataCentreId& data_centre) const {
   std::vector<HostId> eligible;
   for (const auto& [id, record] : this->records) {
     if (record.peer.data_centre == data_centre &&
@@ -168,7 +170,7 @@
 std::vector<HostId> Membership::Representatives(
     Instant now,
     const DataCentreId& data_centre) const {
-  auto eligible = this->Fit(now, data_centre);
+  auto eligible = this->EligibleHosts(now, data_centre);
   eligible.resize(std::min(eligible.size(), kRepresentatives));
   return eligible;
 }
@@ -181,7 +183,8 @@
 }
 
 HostId Membership::Deputy(Instant now, const HostId& coordinator) const {
-  const auto eligible = this->Fit(now, this->options.self.data_centre);
+  const auto eligible =
+      this->EligibleHosts(now, this->options.self.data_centre);
   const auto other = std::ranges::find_if(
       eligible, [&](const HostId& host) { return host != coordinator; });
   return other == eligible.end() ? HostId() : *other;
--- a/packages/decisions/membership.h
+++ b/packages/decisions/membership.h
@@ -80,7 +80,7 @@
   int flap_limit = 3;
   Duration flap_window = std::chrono::seconds(60);
   // False only in tests: a delayed "live" message then undoes "leaving".
-  bool leaving_wins = true;
+  bool leaving_is_final = true;
 };
 
 // The status of a message's sender.
@@ -106,11 +106,11 @@
 
   // A message of a host arrived over its link. The caller must drop the host's
   // digest unless the result is kCurrent.
-  Heard OnHeard(Instant now,
-                const HostId& host,
-                const DataCentreId& data_centre,
-                uint64_t incarnation,
-                bool leaving);
+  Heard OnHostMessage(Instant now,
+                      const HostId& host,
+                      const DataCentreId& data_centre,
+                      uint64_t incarnation,
+                      bool leaving);
 
   // The link to a host broke.
   void OnLinkDown(Instant now, const HostId& host);
@@ -131,7 +131,8 @@
 
   // The hosts of a data centre that may get responsibilities: live and not
   // flapping, by rising id. Includes this host unless it drains.
-  std::vector<HostId> Fit(Instant now, const DataCentreId& data_centre) const;
+  std::vector<HostId> EligibleHosts(Instant now,
+                                    const DataCentreId& data_centre) const;
 
   // The hosts that hold the store's watches for a data centre and its links to
   // others: the lowest ids. The lease's holder isn't used instead because there
--- a/packages/decisions/placement.cc
+++ b/packages/decisions/placement.cc
@@ -21,13 +21,13 @@
 constexpr size_t kSamplesBeforePlans = 20;
 constexpr size_t kSamplesKept = 120;
 constexpr size_t kRecentSamples = 20;
-constexpr double kPlenty = 100;  // upper limit, for demand near zero
+constexpr double kMaxCapacityRatio = 100;  // upper limit, for demand near zero
 
 constexpr std::array kLanguageRoles = {
     EndpointRole::kMixed, EndpointRole::kPrefill, EndpointRole::kDecode};
 
 // Time that one endpoint needs for one second of demand, in seconds.
-double Load(const LeaningWork& work, const RoleRates& rates) {
+double Load(const WorkRate& work, const RoleRates& rates) {
   const double prompts = work.prefill / rates.prefill;
   return std::max(prompts + work.decode / rates.decode,
                   prompts / rates.prefill_share);
@@ -72,10 +72,10 @@
 // output-heavy work. In the optimal division prompt-heavy work is assigned from
 // the front of that order and output-heavy work from its end. The split point
 // is where both classes reach the same ratio.
-double CarriedShare(const LeaningWork& prompt_heavy,
-                    const LeaningWork& output_heavy,
-                    const std::map<EndpointRole, double>& count,
-                    const RoleRatesTable& rates) {
+double CapacityRatio(const WorkRate& prompt_heavy,
+                     const WorkRate& output_heavy,
+                     const std::map<EndpointRole, double>& count,
+                     const RoleRatesTable& rates) {
   struct Group {
     double count, prompts, answers;  // Load() of each class
   };
@@ -93,7 +93,7 @@
     for (const Group& group : groups) {
       share += group.count / std::max(kNothing, group.*load);
     }
-    return std::min(share, kPlenty);
+    return std::min(share, kMaxCapacityRatio);
   };
   if (groups.empty() || Load(prompt_heavy, {1, 1}) < kNothing) {
     return groups.empty() ? 0 : all(&Group::answers);
@@ -116,13 +116,13 @@
       const double f =
           (rest + group.count / group.answers - carried_prompts) /
           (group.count / group.prompts + group.count / group.answers);
-      return std::min(kPlenty,
+      return std::min(kMaxCapacityRatio,
                       carried_prompts + f * group.count / group.prompts);
     }
     carried_prompts = full;
     carried_answers = rest;
   }
-  return std::min(kPlenty, carried_prompts);
+  return std::min(kMaxCapacityRatio, carried_prompts);
 }
 
 Planner::Planner(ServiceId service,
@@ -137,10 +137,10 @@
          "rates of roles must be positive");
 }
 
-Planner::Leaning& Planner::LeaningOf(int64_t prompt_tokens,
-                                     int64_t output_tokens) {
-  const LeaningWork work{static_cast<double>(prompt_tokens),
-                         static_cast<double>(output_tokens)};
+Planner::TrafficClass& Planner::TrafficClassOf(int64_t prompt_tokens,
+                                               int64_t output_tokens) {
+  const WorkRate work{static_cast<double>(prompt_tokens),
+                      static_cast<double>(output_tokens)};
   const auto load = [&](EndpointRole role) {
     const auto found = this->rates.find(role);
     return found == this->rates.end() ? 0 : Load(work, found->second);
@@ -151,7 +151,8 @@
 }
 
 void Planner::OnRequest(int64_t prompt_tokens, int64_t output_tokens) {
-  Leaning& traffic_class = this->LeaningOf(prompt_tokens, output_tokens);
+  TrafficClass& traffic_class =
+      this->TrafficClassOf(prompt_tokens, output_tokens);
   traffic_class.prompt_tokens +=
       static_cast<double>(prompt_tokens) * traffic_class.computed_share;
   traffic_class.output_tokens +=
@@ -162,7 +163,8 @@
                        int64_t output_tokens,
                        int64_t cached_tokens,
                        int64_t generated_tokens) {
-  Leaning& traffic_class = this->LeaningOf(prompt_tokens, output_tokens);
+  TrafficClass& traffic_class =
+      this->TrafficClassOf(prompt_tokens, output_tokens);
   const auto correct = [](double& share, int64_t part, int64_t whole) {
     if (whole > 0) {
       const double measured =
@@ -181,9 +183,9 @@
     return;
   }
   const double seconds = ToSeconds(elapsed);
-  const auto close = [seconds](Leaning& traffic_class) {
-    const LeaningWork work{traffic_class.prompt_tokens / seconds,
-                           traffic_class.output_tokens / seconds};
+  const auto close = [seconds](TrafficClass& traffic_class) {
+    const WorkRate work{traffic_class.prompt_tokens / seconds,
+                        traffic_class.output_tokens / seconds};
     traffic_class.prefill.Add(work.prefill);
     traffic_class.decode.Add(work.decode);
     traffic_class.prompt_tokens = 0;
@@ -195,7 +197,7 @@
   this->sample_began = now;
 }
 
-LeaningWork Planner::Forecast(const Leaning& traffic_class) const {
+WorkRate Planner::Forecast(const TrafficClass& traffic_class) const {
   const double ahead =
       ToSeconds(this->options.horizon) / ToSeconds(this->options.sample);
   return {traffic_class.prefill.After(ahead),
@@ -208,11 +210,11 @@
 
 // The weighted mean of the capacity ratio over the forecast and all past mixes.
 // Capacity beyond the headroom has no value.
-double Planner::Worth(const Counts& counts) const {
+double Planner::RatePlan(const Counts& counts) const {
   const auto carried = [&](const Mix& mix) {
     return std::min(
         this->options.headroom,
-        CarriedShare(mix.prompts, mix.answers, counts, this->rates));
+        CapacityRatio(mix.prompts, mix.answers, counts, this->rates));
   };
   double sum = 0;
   double weights = 0;
@@ -220,17 +222,18 @@
   for (const Mix& mix : this->history) {
     sum += weight * carried(mix);
     weights += weight;
-    weight *= std::exp2(-1 / this->options.half_life);
+    weight *= std::exp2(-1 / this->options.half_life_samples);
   }
   const double forecast_weight = this->options.forecast_share;
   return forecast_weight * carried(this->ForecastMix()) +
          (1 - forecast_weight) * sum / weights;
 }
 
-double Planner::Carried(const std::vector<EndpointState>& endpoints) const {
+double Planner::WorstCapacityRatio(
+    const std::vector<EndpointState>& endpoints) const {
   const Counts counts = CountRoles(endpoints);
   const auto carried = [&](const Mix& mix) {
-    return CarriedShare(mix.prompts, mix.answers, counts, this->rates);
+    return CapacityRatio(mix.prompts, mix.answers, counts, this->rates);
   };
   double least = carried(this->ForecastMix());
   for (const Mix& mix : this->history | std::views::take(kRecentSamples)) {
@@ -239,13 +242,13 @@
   return least;
 }
 
-std::optional<PlacementWish> Planner::BestChange(
+std::optional<PlacementProposal> Planner::BestRoleChange(
     const std::vector<EndpointState>& endpoints,
     const DataCentreId& data_centre) const {
   const Counts counts = CountRoles(endpoints);
-  const double rating = this->Worth(counts);
+  const double rating = this->RatePlan(counts);
   const double change_seconds = ToSeconds(this->options.change);
-  const double dwell_seconds = ToSeconds(this->options.dwell);
+  const double dwell_seconds = ToSeconds(this->options.role_dwell_time);
   double best_gain = 0;
   std::optional<std::pair<EndpointRole, EndpointRole>> best;
   for (const auto& [from, number] : counts) {
@@ -257,12 +260,11 @@
       during[from] -= 1;
       Counts after = during;
       after[to] += 1;
-      const double benefit = (this->Worth(after) - rating) * dwell_seconds;
-      const double required = (rating - this->Worth(during)) * change_seconds *
-                              this->options.hysteresis;
+      const double benefit = (this->RatePlan(after) - rating) * dwell_seconds;
+      const double required = (rating - this->RatePlan(during)) *
+                              change_seconds * this->options.hysteresis;
       const double gain =
-          benefit -
-          std::max(required, this->options.least_gain * dwell_seconds);
+          benefit - std::max(required, this->options.min_gain * dwell_seconds);
       if (gain > best_gain) {
         best_gain = gain;
         best = {from, to};
@@ -284,13 +286,13 @@
   if (chosen == nullptr) {
     return {};
   }
-  return PlacementWish{.endpoint = chosen->endpoint.id,
-                       .kind = "set_role",
-                       .argument = NameOfRole(best->second),
-                       .reason = "carries more of the forecast work"};
+  return PlacementProposal{.endpoint = chosen->endpoint.id,
+                           .kind = "set_role",
+                           .argument = NameOfRole(best->second),
+                           .reason = "carries more of the forecast work"};
 }
 
-std::vector<PlacementWish> Planner::RoleWishes(
+std::vector<PlacementProposal> Planner::ProposeRoleChanges(
     Instant now,
     const std::vector<EndpointState>& endpoints) {
   if (this->history.size() < kSamplesBeforePlans) {
@@ -304,13 +306,13 @@
       busy.insert(state.endpoint.data_centre);
     }
   }
-  std::vector<PlacementWish> proposals;
+  std::vector<PlacementProposal> proposals;
   std::vector<EndpointState> planned = endpoints;
   for (const DataCentreId& data_centre : data_centres) {
     if (busy.contains(data_centre)) {
       continue;
     }
-    const auto proposal = this->BestChange(planned, data_centre);
+    const auto proposal = this->BestRoleChange(planned, data_centre);
     if (!proposal) {
       continue;
     }
@@ -332,8 +334,8 @@
 
 // Whether the loss of the spot endpoints of any single zone would leave each
 // data centre with its floor and the fleet with zone_loss_share of the demand.
-bool Planner::SurvivesZones(const std::vector<EndpointState>& endpoints,
-                            int64_t floor) const {
+bool Planner::SurvivesZoneLoss(const std::vector<EndpointState>& endpoints,
+                               int64_t floor) const {
   std::set<ZoneId> zones;
   std::map<DataCentreId, int64_t> all;
   for (const EndpointState& state : endpoints) {
@@ -354,11 +356,12 @@
     const bool floors = std::ranges::all_of(all, [&](const auto& entry) {
       return counts[entry.first] >= std::min(floor, entry.second);
     });
-    return floors && this->Carried(remaining) >= this->options.zone_loss_share;
+    return floors &&
+           this->WorstCapacityRatio(remaining) >= this->options.zone_loss_share;
   });
 }
 
-std::optional<CapacityWish> Planner::GiveBack(
+std::optional<CapacityProposal> Planner::GiveBack(
     const std::vector<EndpointState>& endpoints,
     int64_t floor) const {
   std::map<DataCentreId, int64_t> counts;
@@ -373,8 +376,8 @@
     }
     std::vector<EndpointState> remaining = endpoints;
     std::erase(remaining, state);
-    if (this->Carried(remaining) < this->options.surplus ||
-        !this->SurvivesZones(remaining, floor)) {
+    if (this->WorstCapacityRatio(remaining) < this->options.release_ratio ||
+        !this->SurvivesZoneLoss(remaining, floor)) {
       continue;
     }
     const auto rank = [](const EndpointState& one) {
@@ -387,16 +390,16 @@
   if (chosen == nullptr) {
     return {};
   }
-  return CapacityWish{.service = this->service,
-                      .data_centre = chosen->endpoint.data_centre,
-                      .zone = chosen->endpoint.zone,
-                      .cheap = chosen->endpoint.cheap,
-                      .change = -1,
-                      .endpoint = chosen->endpoint.id,
-                      .reason = "the rest carries the forecast work"};
+  return CapacityProposal{.service = this->service,
+                          .data_centre = chosen->endpoint.data_centre,
+                          .zone = chosen->endpoint.zone,
+                          .cheap = chosen->endpoint.cheap,
+                          .change = -1,
+                          .endpoint = chosen->endpoint.id,
+                          .reason = "the rest carries the forecast work"};
 }
 
-std::optional<CapacityWish> Planner::NextCapacityWish(
+std::optional<CapacityProposal> Planner::ProposeCapacityChange(
     Instant now,
     const std::vector<EndpointState>& endpoints,
     int64_t min_per_data_centre,
@@ -404,19 +407,19 @@
   if (this->history.size() < kSamplesBeforePlans) {
     return {};
   }
-  const double carried = this->Carried(endpoints);
+  const double carried = this->WorstCapacityRatio(endpoints);
   const auto since = [&](std::optional<Instant>& mark, bool holds) {
     if (!holds) {
       mark.reset();
       return false;
     }
     mark = mark.value_or(now);
-    return now - *mark >= this->options.capacity_wait;
+    return now - *mark >= this->options.capacity_delay;
   };
   const bool is_short =
-      since(this->short_since, carried < this->options.headroom);
+      since(this->shortfall_since, carried < this->options.headroom);
   const bool in_surplus =
-      since(this->surplus_since, carried > this->options.surplus);
+      since(this->surplus_since, carried > this->options.release_ratio);
   if (is_short && static_cast<int64_t>(endpoints.size()) < max_endpoints) {
     // Add where there are fewest endpoints; a spot one if the loss of any zone
     // can still be absorbed.
@@ -429,10 +432,10 @@
     if (fewest == counts.end()) {
       return {};
     }
-    return CapacityWish{
+    return CapacityProposal{
         .service = this->service,
         .data_centre = fewest->first,
-        .cheap = this->SurvivesZones(endpoints, min_per_data_centre),
+        .cheap = this->SurvivesZoneLoss(endpoints, min_per_data_centre),
         .change = 1,
         .reason = "forecast work exceeds what is carried"};
   }
@@ -442,8 +445,9 @@
   return {};
 }
 
-bool Planner::MayLoadModel(Instant now) {
-  if (this->last_load && now - *this->last_load < this->options.load_interval) {
+bool Planner::TryStartModelLoad(Instant now) {
+  if (this->last_load &&
+      now - *this->last_load < this->options.model_load_interval) {
     return false;
   }
   this->last_load = now;
--- a/packages/decisions/placement.h
+++ b/packages/decisions/placement.h
@@ -46,43 +46,43 @@
   Duration horizon = std::chrono::seconds(30);
   // How long a role is expected to last, and how long a role change takes the
   // endpoint out of service, drain included.
-  Duration dwell = std::chrono::seconds(300);
+  Duration role_dwell_time = std::chrono::seconds(300);
   Duration change = std::chrono::seconds(30);
   // Half-life of the weight of a past mix, in samples.
-  double half_life = 40;
+  double half_life_samples = 40;
   // Weight of the forecast mix in the rating of a plan; past mixes have the
   // rest.
   double forecast_share = 0.25;
   // How long a shortfall or surplus must last before it is acted on.
-  Duration capacity_wait = std::chrono::seconds(60);
+  Duration capacity_delay = std::chrono::seconds(60);
   // The gain of a role change must exceed its loss by this factor, and in any
   // case be at least this share of the demand.
   double hysteresis = 1.5;
-  double least_gain = 0.02;
+  double min_gain = 0.02;
   // Capacity ratio to aim for. More capacity than that has no value.
   double headroom = 1.25;
   // Capacity ratio above which an endpoint is released.
-  double surplus = 1.6;
+  double release_ratio = 1.6;
   // Capacity ratio that must remain after the loss of any single zone.
   double zone_loss_share = 0.7;
   // Least time between two model loads, by the rate of the weight store.
-  Duration load_interval = std::chrono::seconds(30);
+  Duration model_load_interval = std::chrono::seconds(30);
 
   auto operator<=>(const PlannerOptions&) const = default;
 };
 
 // An endpoint order that the planner proposes to the coordinator.
-struct PlacementWish {
+struct PlacementProposal {
   EndpointId endpoint;
   std::string kind;      // kind of the order: set_role, drain, load_model
   std::string argument;  // the role or the model
   std::string reason;
 
-  auto operator<=>(const PlacementWish&) const = default;
+  auto operator<=>(const PlacementProposal&) const = default;
 };
 
 // A proposal to request one endpoint from the platform or to release one.
-struct CapacityWish {
+struct CapacityProposal {
   ServiceId service;
   DataCentreId data_centre;
   ZoneId zone;
@@ -91,7 +91,7 @@
   EndpointId endpoint;  // -1: the endpoint to drain and release
   std::string reason;
 
-  auto operator<=>(const CapacityWish&) const = default;
+  auto operator<=>(const CapacityProposal&) const = default;
 };
 
 // The state of one endpoint, as input of the planner.
@@ -136,20 +136,20 @@
 };
 
 // Demand of one traffic class, in tokens per second.
-struct LeaningWork {
+struct WorkRate {
   double prefill = 0;
   double decode = 0;
 
-  auto operator<=>(const LeaningWork&) const = default;
+  auto operator<=>(const WorkRate&) const = default;
 };
 
 // Capacity of a fleet divided by demand. `prompt_heavy` and `output_heavy` are
 // the demand of the two traffic classes, `count` the number of endpoints of
 // each role. Zero if no role in `count` has rates.
-double CarriedShare(const LeaningWork& prompt_heavy,
-                    const LeaningWork& output_heavy,
-                    const std::map<EndpointRole, double>& count,
-                    const RoleRatesTable& rates);
+double CapacityRatio(const WorkRate& prompt_heavy,
+                     const WorkRate& output_heavy,
+                     const std::map<EndpointRole, double>& count,
+                     const RoleRatesTable& rates);
 
 // Plans one service. Requests and answers are reported as they come; OnTick()
 // closes the samples. Proposes nothing until 20 samples have been taken.
@@ -174,13 +174,13 @@
   void OnTick(Instant now);
 
   // Role changes whose gain exceeds their loss, at most one per data centre.
-  std::vector<PlacementWish> RoleWishes(
+  std::vector<PlacementProposal> ProposeRoleChanges(
       Instant now,
       const std::vector<EndpointState>& endpoints);
 
   // A proposal to add or release one endpoint, or none. No data centre is taken
   // below the floor, and endpoints are not added beyond the maximum.
-  std::optional<CapacityWish> NextCapacityWish(
+  std::optional<CapacityProposal> ProposeCapacityChange(
       Instant now,
       const std::vector<EndpointState>& endpoints,
       int64_t min_per_data_centre,
@@ -188,14 +188,14 @@
 
   // Rate limit for the weight store: returns whether a model may be loaded now,
   // and if so, counts this load.
-  bool MayLoadModel(Instant now);
+  bool TryStartModelLoad(Instant now);
 
   // Capacity divided by the highest demand, forecast or recently measured.
-  double Carried(const std::vector<EndpointState>& endpoints) const;
+  double WorstCapacityRatio(const std::vector<EndpointState>& endpoints) const;
 
  private:
   // Tokens since the start of the sample, and forecasts, of one traffic class.
-  struct Leaning {
+  struct TrafficClass {
     double prompt_tokens = 0;
     double output_tokens = 0;
     double computed_share = 1;   // of prompt tokens; the rest is cached
@@ -208,32 +208,32 @@
 
   // Demand of both traffic classes over one sample.
   struct Mix {
-    LeaningWork prompts;
-    LeaningWork answers;
+    WorkRate prompts;
+    WorkRate answers;
   };
 
-  Leaning& LeaningOf(int64_t prompt_tokens, int64_t output_tokens);
+  TrafficClass& TrafficClassOf(int64_t prompt_tokens, int64_t output_tokens);
   Mix ForecastMix() const;
-  LeaningWork Forecast(const Leaning& traffic_class) const;
-  double Worth(const Counts& counts) const;
-  std::optional<PlacementWish> BestChange(
+  WorkRate Forecast(const TrafficClass& traffic_class) const;
+  double RatePlan(const Counts& counts) const;
+  std::optional<PlacementProposal> BestRoleChange(
       const std::vector<EndpointState>& endpoints,
       const DataCentreId& data_centre) const;
-  std::optional<CapacityWish> GiveBack(
+  std::optional<CapacityProposal> GiveBack(
       const std::vector<EndpointState>& endpoints,
       int64_t floor) const;
-  bool SurvivesZones(const std::vector<EndpointState>& endpoints,
-                     int64_t floor) const;
+  bool SurvivesZoneLoss(const std::vector<EndpointState>& endpoints,
+                        int64_t floor) const;
 
   ServiceId service;
   RoleRatesTable rates;
   PlannerOptions options;
-  Leaning prompts;
-  Leaning answers;
+  TrafficClass prompts;
+  TrafficClass answers;
   Instant sample_began{};
   std::deque<Mix> history;  // latest first
   std::map<DataCentreId, Instant> last_change;
-  std::optional<Instant> short_since;
+  std::optional<Instant> shortfall_since;
   std::optional<Instant> surplus_since;
   std::optional<Instant> last_load;
 };
--- a/packages/decisions/prefix_cache.cc
+++ b/packages/decisions/prefix_cache.cc
@@ -7,8 +7,8 @@
 
 // An engine holds about 4000 blocks. Twice that leaves room for blocks whose
 // removal has not been reported yet.
-constexpr size_t kMaxPieces = 8192;
-constexpr double kUnsureWorth = 0.5;
+constexpr size_t kMaxBlocks = 8192;
+constexpr double kOutOfSyncFactor = 0.5;
 
 }  // namespace
 
@@ -43,7 +43,7 @@
 }
 
 void PrefixCache::Add(uint64_t block) {
-  if (this->pieces.size() >= kMaxPieces) {
+  if (this->pieces.size() >= kMaxBlocks) {
     // Evicts an arbitrary block to bound the memory.
     this->pieces.erase(this->pieces.begin());
     this->sure = false;
@@ -60,7 +60,7 @@
   });
   const auto hits = static_cast<double>(miss - prefix_hashes.begin());
   const double share = hits / static_cast<double>(prefix_hashes.size());
-  return this->sure ? share : share * kUnsureWorth;
+  return this->sure ? share : share * kOutOfSyncFactor;
 }
 
 }  // namespace hickorystand
--- a/packages/decisions/prefix_cache.h
+++ b/packages/decisions/prefix_cache.h
@@ -28,7 +28,7 @@
   double HitShare(const std::vector<uint64_t>& prefix_hashes) const;
 
   // False after lost events, until the next snapshot.
-  bool Sure() const { return this->sure; }
+  bool InSync() const { return this->sure; }
   size_t Size() const { return this->pieces.size(); }
 
  private:
--- a/packages/decisions/role_plan.cc
+++ b/packages/decisions/role_plan.cc
@@ -10,9 +10,9 @@
 namespace {
 
 // Engines of one role, by zone.
-using ByZone = std::map<ZoneId, std::vector<EndpointId>>;
+using EngineIdsByZone = std::map<ZoneId, std::vector<EndpointId>>;
 
-int64_t CountAll(const ByZone& engines) {
+int64_t CountAll(const EngineIdsByZone& engines) {
   int64_t count = 0;
   for (const auto& [zone, ids] : engines) {
     count += static_cast<int64_t>(ids.size());
@@ -34,10 +34,10 @@
 
 // The engine with the lowest cost of a role change. `engines` must not be
 // empty.
-EndpointId Cheapest(const FleetEndpoints& endpoints,
-                    const ByZone& engines,
-                    const RoleLoad& load,
-                    bool spot) {
+EndpointId LowestCostEngine(const FleetEndpoints& endpoints,
+                            const EngineIdsByZone& engines,
+                            const RoleLoad& load,
+                            bool spot) {
   std::vector<std::pair<ChangeCost, EndpointId>> costs;
   for (const auto& [zone, ids] : engines) {
     for (const EndpointId& id : ids) {
@@ -57,8 +57,8 @@
                                    const ServiceId& service,
                                    const RoleLoad& load,
                                    const RolePlanOptions& options) {
-  ByZone prefill_engines;
-  ByZone decode_engines;
+  EngineIdsByZone prefill_engines;
+  EngineIdsByZone decode_engines;
   std::map<ZoneId, int64_t> zones;
   int64_t slots = 0;
   for (const auto& [id, endpoint] : endpoints) {
@@ -68,8 +68,9 @@
     }
     ++zones[endpoint.zone];
     slots += endpoint.slots;
-    ByZone& of_role = endpoint.role == EndpointRole::kPrefill ? prefill_engines
-                                                              : decode_engines;
+    EngineIdsByZone& of_role = endpoint.role == EndpointRole::kPrefill
+                                   ? prefill_engines
+                                   : decode_engines;
     of_role[endpoint.zone].push_back(id);
   }
   const int64_t engines = CountAll(prefill_engines) + CountAll(decode_engines);
@@ -78,17 +79,17 @@
   }
   const double slots_each =
       static_cast<double>(slots) / static_cast<double>(engines);
-  const auto needed = static_cast<int64_t>(
-      std::ceil(load.streams / std::max(options.slots_used * slots_each, 1.0)));
+  const auto needed = static_cast<int64_t>(std::ceil(
+      load.streams / std::max(options.target_slot_share * slots_each, 1.0)));
   const auto share = static_cast<int64_t>(
-      std::ceil(options.least_share * static_cast<double>(engines)));
+      std::ceil(options.min_decode_share * static_cast<double>(engines)));
   const int64_t wanted = std::clamp<int64_t>(
       std::max({needed + options.spare_engines, share,
                 static_cast<int64_t>(zones.size()) + options.spare_engines}),
       1, std::max<int64_t>(engines / 2, 1));
-  if (CountAll(decode_engines) > wanted + options.tolerated_more) {
+  if (CountAll(decode_engines) > wanted + options.surplus_tolerance) {
     return RoleChange{
-        .endpoint = Cheapest(endpoints, decode_engines, load, true),
+        .endpoint = LowestCostEngine(endpoints, decode_engines, load, true),
         .role = EndpointRole::kPrefill};
   }
   if (CountAll(decode_engines) >= wanted || prefill_engines.empty()) {
@@ -99,11 +100,13 @@
   const auto zone_without_decode = std::ranges::find_if(
       prefill_engines,
       [&](const auto& entry) { return !decode_engines.contains(entry.first); });
-  const ByZone candidates = zone_without_decode != prefill_engines.end()
-                                ? ByZone{*zone_without_decode}
-                                : std::move(prefill_engines);
-  return RoleChange{.endpoint = Cheapest(endpoints, candidates, load, false),
-                    .role = EndpointRole::kDecode};
+  const EngineIdsByZone candidates =
+      zone_without_decode != prefill_engines.end()
+          ? EngineIdsByZone{*zone_without_decode}
+          : std::move(prefill_engines);
+  return RoleChange{
+      .endpoint = LowestCostEngine(endpoints, candidates, load, false),
+      .role = EndpointRole::kDecode};
 }
 
 }  // namespace hickorystand
--- a/packages/decisions/role_plan.h
+++ b/packages/decisions/role_plan.h
@@ -19,7 +19,7 @@
 // Targets of role planning.
 struct RolePlanOptions {
   // Target share of an engine's slots that streams take.
-  double slots_used = 0.7;
+  double target_slot_share = 0.7;
   // Decode engines in addition to those that the streams need, and in addition
   // to one per zone, in case an engine fails. Each zone has one since the KV
   // transfer of a prompt to another zone takes twice as long.
@@ -27,9 +27,9 @@
   // Surplus of decode engines up to which none changes its role: the number of
   // streams fluctuates, and each change takes an engine out of service for
   // seconds.
-  int64_t tolerated_more = 1;
+  int64_t surplus_tolerance = 1;
   // Smallest share of engines that generate, whatever the number of streams.
-  double least_share = 0.2;
+  double min_decode_share = 0.2;
 
   auto operator<=>(const RolePlanOptions&) const = default;
 };
--- a/packages/decisions/round_robin_dispatcher.cc
+++ b/packages/decisions/round_robin_dispatcher.cc
@@ -60,11 +60,11 @@
                           AttemptId attempt,
                           int64_t generated_tokens) override;
   DispatchList OnResult(Instant now, const AttemptResult& result) override;
-  DispatchList OnCallerGone(Instant now, const RequestId& id) override;
+  DispatchList OnCallerDisconnected(Instant now, const RequestId& id) override;
   DispatchList OnLoad(Instant now, const LoadReport& report) override;
   void OnCache(Instant, const CacheEvent&) override {}
   DispatchList OnDigest(Instant now, const Digest& digest) override;
-  void OnHostGone(Instant, const HostId&) override {}
+  void OnHostLost(Instant, const HostId&) override {}
   DispatchList OnTick(Instant now) override;
   void StartDrain() override { this->draining = true; }
   void FillDigest(Digest& digest) const override;
@@ -192,7 +192,8 @@
                       "no further try");
 }
 
-DispatchList RoundRobinDispatcher::OnCallerGone(Instant, const RequestId& id) {
+DispatchList RoundRobinDispatcher::OnCallerDisconnected(Instant,
+                                                        const RequestId& id) {
   const auto found = this->live.find(id);
   if (found == this->live.end()) {
     return {};
--- a/packages/decisions/router.cc
+++ b/packages/decisions/router.cc
@@ -17,19 +17,19 @@
 constexpr double kSlownessHalfLifeSeconds = 10;
 constexpr double kMaxSlowness = 20;
 constexpr double kShortestExpectedSeconds = 0.05;
-constexpr double kHiddenGain = 0.2;
+constexpr double kUnattributedGain = 0.2;
 constexpr double kDecodeWeightGain = 0.02;
 constexpr double kMaxDecodeWeight = 64;
 
 constexpr int64_t kFailuresToEject = 3;
 constexpr int64_t kMaxEjectionDoublings = 5;
-constexpr Duration kEjection = std::chrono::seconds(2);
+constexpr Duration kEjectionTime = std::chrono::seconds(2);
 constexpr Duration kRefusedPause = std::chrono::milliseconds(250);
 constexpr size_t kRunnersUp = 3;
-constexpr size_t kIncarnationsKept = 8;
+constexpr size_t kMaxIncarnations = 8;
 
-void KeepFew(std::set<uint64_t>& incarnations) {
-  while (incarnations.size() > kIncarnationsKept) {
+void TrimIncarnations(std::set<uint64_t>& incarnations) {
+  while (incarnations.size() > kMaxIncarnations) {
     incarnations.erase(incarnations.begin());
   }
 }
@@ -71,10 +71,10 @@
 
 double EndpointView::Requests() const {
   return static_cast<double>(this->own_requests + this->peer_requests) +
-         std::max(0.0, this->hidden_requests);
+         std::max(0.0, this->unattributed_requests);
 }
 
-double EndpointView::WaitingSeconds() const {
+double EndpointView::QueuedPrefillSeconds() const {
   return static_cast<double>(this->own_prompt_tokens +
                              this->peer_prompt_tokens) /
          this->PrefillRate();
@@ -128,7 +128,7 @@
   }
   if (view.incarnation != 0) {
     view.retired.insert(view.incarnation);
-    KeepFew(view.retired);
+    TrimIncarnations(view.retired);
   }
   view.incarnation = incarnation;
   view.report.sequence = 0;
@@ -138,7 +138,7 @@
   view.failures = 0;
   view.ejections = 0;
   view.slowness = 1;
-  view.hidden_requests = 0;
+  view.unattributed_requests = 0;
 }
 
 void Router::OnLoad(Instant now, const LoadReport& report) {
@@ -155,15 +155,16 @@
   this->Adopt(view, report.incarnation);
   if (report.leaving) {
     view.leaving.insert(report.incarnation);
-    KeepFew(view.leaving);
+    TrimIncarnations(view.leaving);
   }
   view.report = report;
   view.reported = true;
   view.down = view.down && this->options.eject_outliers && view.Ejected(now);
   const auto known =
       static_cast<double>(view.own_requests + view.peer_requests);
-  view.hidden_requests += kHiddenGain * (static_cast<double>(report.running) -
-                                         known - view.hidden_requests);
+  view.unattributed_requests +=
+      kUnattributedGain * (static_cast<double>(report.running) - known -
+                           view.unattributed_requests);
   if (report.prefill_rate > 0 && report.decode_rate > 0) {
     const double ratio = std::clamp(report.prefill_rate / report.decode_rate,
                                     1.0, kMaxDecodeWeight);
@@ -205,17 +206,17 @@
     EndpointView& view = found->second;
     if (state.leaving) {
       view.leaving.insert(state.incarnation);
-      KeepFew(view.leaving);
+      TrimIncarnations(view.leaving);
     }
     if (state.down && state.incarnation == view.incarnation && !view.down &&
         !view.Ejected(now)) {
       view.down = true;
-      this->Eject(now, view, kEjection);
+      this->Eject(now, view, kEjectionTime);
     }
   }
 }
 
-void Router::OnHostGone(const HostId& host) {
+void Router::OnHostLost(const HostId& host) {
   const auto found = this->peers.find(host);
   if (found == this->peers.end()) {
     return;
@@ -235,7 +236,7 @@
   // After an ejection an endpoint gets one request at a time, until it has
   // answered one.
   if (this->options.eject_outliers &&
-      (view.Ejected(now) || (view.OnTrial() && view.probing))) {
+      (view.Ejected(now) || (view.OnProbation() && view.probing))) {
     return false;
   }
   if (query.ignore_room) {
@@ -251,11 +252,11 @@
                      RequestClass request_class) const {
   const bool batch = request_class == RequestClass::kBatch;
   const double slots = view.Capacity() * (batch ? this->options.batch_occupancy
-                                                : this->options.overbook);
+                                                : this->options.overbook_ratio);
   const double max_seconds =
       this->options.max_prefill_seconds * (batch ? 0.5 : 1.0);
   return view.Requests() < std::max(1.0, slots) &&
-         view.WaitingSeconds() < max_seconds;
+         view.QueuedPrefillSeconds() < max_seconds;
 }
 
 // Decays to 1 over time, so that an endpoint that was slow is tried again.
@@ -265,9 +266,9 @@
   return 1 + (view.slowness - 1) * weight;
 }
 
-Router::Scored Router::Score(Instant now,
-                             const EndpointView& view,
-                             const Request& request) const {
+Router::ScoredEndpoint Router::Score(Instant now,
+                                     const EndpointView& view,
+                                     const Request& request) const {
   const double hit_share = this->options.use_prefix_cache
                                ? view.cache.HitShare(request.prefix_hashes)
                                : 0;
@@ -279,11 +280,11 @@
   const double overload_seconds =
       std::max(0.0, view.Requests() + 1 - view.Capacity()) *
       static_cast<double>(request.output_tokens) / view.DecodeRate();
-  const double seconds = (view.WaitingSeconds() +
+  const double seconds = (view.QueuedPrefillSeconds() +
                           static_cast<double>(missed) / view.PrefillRate()) *
                              slowness +
                          overload_seconds +
-                         (remote ? this->options.remote_seconds : 0);
+                         (remote ? this->options.remote_penalty_seconds : 0);
   // Work is weighted by the occupancy of the batch: decoding one more request
   // costs little on a nearly empty engine, but delays others on a nearly full
   // one.
@@ -314,39 +315,40 @@
   for (const auto& [work, view] : works) {
     if (work <= least * this->options.fit &&
         !this->HasRoom(*view, request.request_class)) {
-      view->wanted_until = now + this->options.wanted;
+      view->reserved_until = now + this->options.wanted;
     }
   }
   return least;
 }
 
-bool Router::FitsOrHasSpare(Instant now,
-                            const Scored& scored,
-                            const RouteQuery& query) const {
+bool Router::FitsOrHasSpareCapacity(Instant now,
+                                    const ScoredEndpoint& scored,
+                                    const RouteQuery& query) const {
   if (query.least_work == 0 || query.ignore_room || query.suspect ||
       scored.work <= query.least_work * this->options.fit) {
     return true;
   }
   const EndpointView& view = *scored.view;
-  return now >= view.wanted_until &&
+  return now >= view.reserved_until &&
          view.Requests() < view.Capacity() * this->options.misfit_occupancy &&
-         view.WaitingSeconds() < this->options.misfit_prefill_seconds;
+         view.QueuedPrefillSeconds() < this->options.misfit_prefill_seconds;
 }
 
-const Router::Scored& Router::PickAmongEquals(
-    const std::vector<Scored>& sorted) {
+const Router::ScoredEndpoint& Router::PickAmongEquals(
+    const std::vector<ScoredEndpoint>& sorted) {
   const double limit =
       sorted.front().score * (1 + this->options.near_equal_share) +
       this->options.near_equal_seconds;
-  const auto end = std::ranges::upper_bound(sorted, limit, {}, &Scored::score);
+  const auto end =
+      std::ranges::upper_bound(sorted, limit, {}, &ScoredEndpoint::score);
   const auto equals = static_cast<size_t>(end - sorted.begin());
   if (!this->options.choose_among_equals || equals < 2) {
     return sorted.front();
   }
   std::uniform_int_distribution<size_t> any(0, equals - 1);
-  const Scored& first = sorted[any(this->random)];
-  const Scored& second = sorted[any(this->random)];
-  const auto load = [](const Scored& scored) {
+  const ScoredEndpoint& first = sorted[any(this->random)];
+  const ScoredEndpoint& second = sorted[any(this->random)];
+  const auto load = [](const ScoredEndpoint& scored) {
     return scored.view->Requests() / scored.view->Capacity();
   };
   return load(second) < load(first) ? second : first;
@@ -358,15 +360,15 @@
   if (service == this->by_service.end()) {
     return {};
   }
-  std::vector<Scored> scored;
+  std::vector<ScoredEndpoint> scored;
   for (EndpointView* candidate : service->second) {
     const EndpointView& view = *candidate;
     if (this->Usable(now, view, query)) {
       scored.push_back(this->Score(now, view, *query.request));
     }
   }
-  std::erase_if(scored, [&](const Scored& one) {
-    return !this->FitsOrHasSpare(now, one, query);
+  std::erase_if(scored, [&](const ScoredEndpoint& one) {
+    return !this->FitsOrHasSpareCapacity(now, one, query);
   });
   // The following filters are preferences. If all endpoints have failed before,
   // or all are on probation, the request is still sent to one of them, over a
@@ -374,25 +376,26 @@
   // retried, and an endpoint that receives only non-idempotent requests would
   // never leave probation.
   const bool once = query.request->request_class == RequestClass::kOnce;
-  const bool has_alternative = this->HasOther(now, *query.request, query.avoid);
-  std::erase_if(scored, [&](const Scored& one) {
+  const bool has_alternative =
+      this->HasAlternative(now, *query.request, query.avoid);
+  std::erase_if(scored, [&](const ScoredEndpoint& one) {
     return has_alternative && query.avoid.contains(one.view->endpoint.id);
   });
-  EraseUnlessAll(scored, [&](const Scored& one) {
+  EraseUnlessAll(scored, [&](const ScoredEndpoint& one) {
     return query.avoid_zones.contains(one.view->endpoint.zone);
   });
-  EraseUnlessAll(scored, [&](const Scored& one) {
-    return this->options.eject_outliers && once && one.view->OnTrial();
+  EraseUnlessAll(scored, [&](const ScoredEndpoint& one) {
+    return this->options.eject_outliers && once && one.view->OnProbation();
   });
   if (scored.empty()) {
     return {};
   }
   // A suspected request goes to the endpoint with the fewest requests, so that
   // a crash affects as few others as possible.
-  std::ranges::sort(scored, {}, [&](const Scored& one) {
+  std::ranges::sort(scored, {}, [&](const ScoredEndpoint& one) {
     return std::pair(query.suspect ? one.view->Requests() : 0, one.score);
   });
-  const Scored& chosen =
+  const ScoredEndpoint& chosen =
       query.suspect ? scored.front() : this->PickAmongEquals(scored);
   Route route{.endpoint = chosen.view->endpoint.id,
               .seconds = chosen.seconds,
@@ -401,7 +404,7 @@
               .reason = query.suspect
                             ? "suspected request, fewest requests there"
                             : "least expected time"};
-  for (const Scored& other : scored) {
+  for (const ScoredEndpoint& other : scored) {
     if (other.view != chosen.view && route.runners_up.size() < kRunnersUp) {
       route.runners_up.push_back({other.view->endpoint.id, other.seconds});
     }
@@ -419,9 +422,9 @@
          });
 }
 
-bool Router::HasOther(Instant now,
-                      const Request& request,
-                      const std::set<EndpointId>& avoid) const {
+bool Router::HasAlternative(Instant now,
+                            const Request& request,
+                            const std::set<EndpointId>& avoid) const {
   const auto found = this->by_service.find(request.service);
   const bool once = request.request_class == RequestClass::kOnce;
   return found != this->by_service.end() &&
@@ -440,8 +443,9 @@
          });
 }
 
-std::optional<double> Router::BestSeconds(Instant now,
-                                          const Request& request) const {
+std::optional<double> Router::BestFirstTokenSeconds(
+    Instant now,
+    const Request& request) const {
   const auto service = this->by_service.find(request.service);
   if (service == this->by_service.end()) {
     return {};
@@ -517,7 +521,7 @@
   } else if (outcome == AttemptOutcome::kCrashed) {
     if (!view.down) {
       view.down = true;
-      this->Eject(now, view, kEjection);
+      this->Eject(now, view, kEjectionTime);
     }
   } else if (outcome == AttemptOutcome::kRefused) {
     view.ejected_until = std::max(view.ejected_until, now + kRefusedPause);
@@ -525,7 +529,7 @@
     view.failures += 1;
     if (probe || view.failures >= kFailuresToEject) {
       view.failures = 0;
-      this->Eject(now, view, kEjection);
+      this->Eject(now, view, kEjectionTime);
     }
   }
 }
--- a/packages/decisions/router.h
+++ b/packages/decisions/router.h
@@ -52,7 +52,7 @@
   double near_equal_share = 0.15;
   double near_equal_seconds = 0.02;
   // Penalty for an endpoint in another data centre.
-  double remote_seconds = 0.05;
+  double remote_penalty_seconds = 0.05;
   // Share of the engine's batch that requests of class kBatch may fill.
   double batch_occupancy = 0.85;
   // An endpoint with more queued prefill time than this is full.
@@ -66,7 +66,7 @@
   // it.
   Duration wanted = std::chrono::seconds(10);
   // Requests sent per slot of the engine's batch.
-  double overbook = 1.1;
+  double overbook_ratio = 1.1;
 
   auto operator<=>(const RouterOptions&) const = default;
 };
@@ -109,29 +109,30 @@
   int64_t own_suspects = 0;
   int64_t peer_requests = 0;
   int64_t peer_prompt_tokens = 0;
-  double hidden_requests = 0;  // running, but not sent by this host or a peer
-  double slowness = 1;         // measured / expected time, smoothed
+  double unattributed_requests =
+      0;                // running, but not sent by this host or a peer
+  double slowness = 1;  // measured / expected time, smoothed
   Instant slowness_at{};
   int64_t failures = 0;   // consecutive
   int64_t ejections = 0;  // consecutive
   Instant ejected_until{};
-  Instant wanted_until{};  // until then poor fits are not sent
-  bool down = false;       // crashed; only a probe may be sent
-  bool probing = false;    // a probe is in flight
+  Instant reserved_until{};  // until then poor fits are not sent
+  bool down = false;         // crashed; only a probe may be sent
+  bool probing = false;      // a probe is in flight
 
   // Whether its current incarnation is leaving, or it has been removed from the
   // configuration.
   bool Leaving() const;
   bool Ejected(Instant now) const { return now < this->ejected_until; }
   // Whether it has not answered a request since it was last ejected.
-  bool OnTrial() const { return this->ejections > 0 || this->down; }
+  bool OnProbation() const { return this->ejections > 0 || this->down; }
   double PrefillRate() const;
   double DecodeRate() const;
   double Capacity() const;
   // Estimated requests in flight, from all hosts.
   double Requests() const;
   // Time to prefill the queued prompts, if the engine did nothing else.
-  double WaitingSeconds() const;
+  double QueuedPrefillSeconds() const;
 };
 
 // Tracks the endpoints of all services and chooses one for each request.
@@ -145,7 +146,7 @@
   void OnLoad(Instant now, const LoadReport& report);
   void OnCache(const CacheEvent& event);
   void OnDigest(Instant now, const Digest& digest);
-  void OnHostGone(const HostId& host);
+  void OnHostLost(const HostId& host);
 
   // The best endpoint with room, or none. Uses the random generator.
   std::optional<Route> Choose(Instant now, const RouteQuery& query);
@@ -163,13 +164,14 @@
 
   // Whether an endpoint outside `avoid` can take the request, now or once it
   // has room. Leaving and ejected endpoints do not count.
-  bool HasOther(Instant now,
-                const Request& request,
-                const std::set<EndpointId>& avoid) const;
+  bool HasAlternative(Instant now,
+                      const Request& request,
+                      const std::set<EndpointId>& avoid) const;
 
   // Least expected time to first token, full endpoints included. Empty if no
   // endpoint is available.
-  std::optional<double> BestSeconds(Instant now, const Request& request) const;
+  std::optional<double> BestFirstTokenSeconds(Instant now,
+                                              const Request& request) const;
 
   // Events of the attempts of this host. Every OnSent() is followed by one
   // OnEnded().
@@ -195,7 +197,7 @@
   void FillDigest(Digest& digest) const;
 
  private:
-  struct Scored {
+  struct ScoredEndpoint {
     const EndpointView* view;
     double seconds;  // to the first token
     double work;     // engine time that the request takes
@@ -209,14 +211,15 @@
               const EndpointView& view,
               const RouteQuery& query) const;
   bool HasRoom(const EndpointView& view, RequestClass request_class) const;
-  Scored Score(Instant now,
-               const EndpointView& view,
-               const Request& request) const;
-  bool FitsOrHasSpare(Instant now,
-                      const Scored& scored,
-                      const RouteQuery& query) const;
+  ScoredEndpoint Score(Instant now,
+                       const EndpointView& view,
+                       const Request& request) const;
+  bool FitsOrHasSpareCapacity(Instant now,
+                              const ScoredEndpoint& scored,
+                              const RouteQuery& query) const;
   double Slowness(Instant now, const EndpointView& view) const;
-  const Scored& PickAmongEquals(const std::vector<Scored>& sorted);
+  const ScoredEndpoint& PickAmongEquals(
+      const std::vector<ScoredEndpoint>& sorted);
   void Eject(Instant now, EndpointView& view, Duration base);
   void CountPeer(const std::vector<EndpointOutstanding>& outstanding,
                  int64_t sign);
--- a/packages/decisions/scale_plan.cc
+++ b/packages/decisions/scale_plan.cc
@@ -9,11 +9,11 @@
 namespace {
 
 bool UsesSpot(const ScaleBounds& bounds, const ScalePlanOptions& options) {
-  return bounds.spot_price < options.spot_worth_it;
+  return bounds.spot_price < options.max_spot_price;
 }
 
 // The limit for all zones together.
-int64_t MostEngines(const ScaleBounds& bounds) {
+int64_t MaxEngines(const ScaleBounds& bounds) {
   return static_cast<int64_t>(bounds.zone_prices.size()) * bounds.maximum;
 }
 
@@ -32,7 +32,10 @@
 // Distributes `count` engines over the zones in turn, skipping zones without
 // `room`. The cheaper zones get the remainder.
 template <typename Room, typename Add>
-void Deal(const std::vector<ZoneId>& zones, int64_t count, Room room, Add add) {
+void DistributeOverZones(const std::vector<ZoneId>& zones,
+                         int64_t count,
+                         Room room,
+                         Add add) {
   bool progress = true;
   while (count > 0 && progress) {
     progress = false;
@@ -70,23 +73,23 @@
                       double price,
                       const ScaleBounds& bounds,
                       const ScalePlanOptions& options) {
-  const double share = price < options.spot_worth_it
-                           ? options.reading_share_spot
+  const double share = price < options.max_spot_price
+                           ? options.prefill_share_spot
                            : options.prefill_share_on_demand;
   const auto zones = static_cast<int64_t>(bounds.zone_prices.size());
   return std::min(static_cast<int64_t>(std::ceil(prefill_load / share)) +
-                      zones + options.generating_spare,
-                  MostEngines(bounds));
+                      zones + options.spare_decode_engines,
+                  MaxEngines(bounds));
 }
 
-int64_t EnginesAtFirst(int64_t live,
+int64_t InitialEngines(int64_t live,
                        const ScaleBounds& bounds,
                        const ScalePlanOptions& options) {
   const double factor =
-      UsesSpot(bounds, options) ? options.first_factor_spot : 1;
+      UsesSpot(bounds, options) ? options.initial_factor_spot : 1;
   return std::min(
       static_cast<int64_t>(std::ceil(factor * static_cast<double>(live))),
-      MostEngines(bounds));
+      MaxEngines(bounds));
 }
 
 EnginesByZone PlanScale(const EnginesByZone& now,
@@ -104,7 +107,7 @@
                                            static_cast<double>(wanted))))
            : std::max(least, wanted);
   EnginesByZone plan;
-  Deal(
+  DistributeOverZones(
       zones, on_demand,
       [&](const ZoneId& zone) { return plan[zone].on_demand < bounds.maximum; },
       [&](const ZoneId& zone) { ++plan[zone].on_demand; });
@@ -121,15 +124,15 @@
     return plan.at(zone).on_demand + plan.at(zone).spot < bounds.maximum;
   };
   if (spot) {
-    Deal(
+    DistributeOverZones(
         zones, wanted - on_demand,
         [&](const ZoneId& zone) {
           return !In(now, zone).spot_unavailable && in_bounds(zone);
         },
         [&](const ZoneId& zone) { ++plan.at(zone).spot; });
   }
-  Deal(zones, needed - Live(plan), in_bounds,
-       [&](const ZoneId& zone) { ++plan.at(zone).on_demand; });
+  DistributeOverZones(zones, needed - Live(plan), in_bounds,
+                      [&](const ZoneId& zone) { ++plan.at(zone).on_demand; });
   return plan;
 }
 
--- a/packages/decisions/scale_plan.h
+++ b/packages/decisions/scale_plan.h
@@ -43,21 +43,21 @@
   // load within a second, hosts spread it unevenly, and a new engine takes four
   // seconds to start; the cheaper the engines, the more headroom pays off.
   double prefill_share_on_demand = 0.6;
-  double reading_share_spot = 0.4;
+  double prefill_share_spot = 0.4;
   // Spot engines are used if their price is below this share of the on-demand
   // price.
-  double spot_worth_it = 0.6;
+  double max_spot_price = 0.6;
   // Share of on-demand engines among all engines.
   double on_demand_share = 0.15;
   // Engines for streams, in addition to those for prefill: one per zone and
   // this many more.
-  int64_t generating_spare = 1;
+  int64_t spare_decode_engines = 1;
   // Before the load is known, the plan is this multiple of the live engines:
   // engines with a cold cache prefill every shared part for the first time.
-  double first_factor_spot = 2;
+  double initial_factor_spot = 2;
   // Surplus of engines that is kept: the load fluctuates from second to second,
   // and each new engine has to prefill everything again.
-  int64_t tolerated_less = 3;
+  int64_t shrink_tolerance = 3;
 };
 
 // Returns the number of engines for a load that keeps `prefill_load` engines
@@ -73,7 +73,7 @@
                      const ScalePlanOptions& options = {});
 
 // The number of engines before the load is known.
-int64_t EnginesAtFirst(int64_t live,
+int64_t InitialEngines(int64_t live,
                        const ScaleBounds& bounds,
                        const ScalePlanOptions& options = {});
 
--- a/packages/decisions/scheduler_choice.cc
+++ b/packages/decisions/scheduler_choice.cc
@@ -8,7 +8,7 @@
 
 // A scheduler counts as stuck if it has more requests in flight than twice
 // those of the least loaded scheduler plus this number.
-constexpr int64_t kStuckFrom = 6;
+constexpr int64_t kStuckMargin = 6;
 
 double CapacityOf(const FleetHost& host) {
   return static_cast<double>(std::max<int64_t>(host.capacity, 1));
@@ -95,7 +95,7 @@
 std::optional<HostId> SchedulerChoice::Choose(
     const std::set<HostId>& tried) const {
   const State* best = nullptr;
-  const int64_t stuck_at = this->LeastInFlight() * 2 + kStuckFrom;
+  const int64_t stuck_at = this->LeastInFlight() * 2 + kStuckMargin;
   int64_t strongest = 0;
   int64_t strongest_staying = 0;
   for (const auto& [id, state] : this->states) {
--- a/packages/decisions/stop_schedule.cc
+++ b/packages/decisions/stop_schedule.cc
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-bool CanFinish(Duration left, const AnswerNeed& need) {
+bool CanFinish(Duration left, const AnswerDuration& need) {
   return need.limit <= left ||
          (need.expected &&
           ToSeconds(*need.expected) * kExpectedTimeMargin <= ToSeconds(left));
@@ -28,14 +28,14 @@
   const Instant finish_by =
       signalled + std::max(grace - kKillMargin, grace / 2);
   return {.signalled = signalled,
-          .takes_until = std::min(signalled + kBalancerDelay, finish_by),
+          .accept_until = std::min(signalled + kBalancerDelay, finish_by),
           .finish_by = finish_by};
 }
 
-bool StopSchedule::MayTake(Instant now, const AnswerNeed& need) const {
+bool StopSchedule::MayAccept(Instant now, const AnswerDuration& need) const {
   const Duration left = this->Left(now);
   return need.limit <= left ||
-         (now < this->takes_until && CanFinish(left, need));
+         (now < this->accept_until && CanFinish(left, need));
 }
 
 }  // namespace hickorystand
--- a/packages/decisions/stop_schedule.h
+++ b/packages/decisions/stop_schedule.h
@@ -21,29 +21,29 @@
 namespace hickorystand {
 
 // The duration of a request's answer, from now on.
-struct AnswerNeed {
+struct AnswerDuration {
   Duration limit{};  // timeout of the caller or its route
   // Duration that nearly all such answers stay within; nullopt: unknown.
   std::optional<Duration> expected;
 
-  auto operator<=>(const AnswerNeed&) const = default;
+  auto operator<=>(const AnswerDuration&) const = default;
 };
 
 // Whether an answer is complete, or its limit reached, within the time left.
-bool CanFinish(Duration left, const AnswerNeed& need);
+bool CanFinish(Duration left, const AnswerDuration& need);
 
 // The times of one stop.
 struct StopSchedule {
   Instant signalled{};
-  Instant takes_until{};  // by then the load balancer has noticed the stop
-  Instant finish_by{};    // unfinished requests are ended then
+  Instant accept_until{};  // by then the load balancer has noticed the stop
+  Instant finish_by{};     // unfinished requests are ended then
 
   // The platform kills the process `grace` after the signal.
   static StopSchedule From(Instant signalled, Duration grace);
 
   // Whether a request may still be accepted. After `accept_until` an estimate
   // is not sufficient: the request's limit must end before `finish_by`.
-  bool MayTake(Instant now, const AnswerNeed& need) const;
+  bool MayAccept(Instant now, const AnswerDuration& need) const;
 
   Duration Left(Instant now) const { return this->finish_by - now; }
 
--- a/packages/decisions/suspects.cc
+++ b/packages/decisions/suspects.cc
@@ -28,7 +28,7 @@
                        const std::vector<uint64_t>& fingerprints) {
   this->Forget(now);
   const Crash crash{now, zone, fingerprints};
-  if (!this->ClearedByZone(crash)) {
+  if (!this->ClearIfZoneLost(crash)) {
     for (const uint64_t fingerprint : fingerprints) {
       Entry& entry = this->own[fingerprint];
       entry = {entry.crashes + 1, now};
@@ -40,14 +40,14 @@
   }
 }
 
-bool Suspects::ClearedByZone(const Crash& crash) {
+bool Suspects::ClearIfZoneLost(const Crash& crash) {
   if (crash.zone.Empty() || crash.fingerprints.empty()) {
     return false;
   }
   bool cleared = false;
   for (const Crash& earlier : this->recent) {
     if (earlier.zone != crash.zone ||
-        crash.time - earlier.time > this->options.zone_window ||
+        crash.time - earlier.time > this->options.zone_loss_window ||
         earlier.fingerprints.empty() ||
         !Disjoint(earlier.fingerprints, crash.fingerprints)) {
       continue;
@@ -56,7 +56,7 @@
     for (const uint64_t fingerprint : earlier.fingerprints) {
       const auto found = this->own.find(fingerprint);
       if (found != this->own.end() &&
-          found->second.crashes < this->options.condemned_after) {
+          found->second.crashes < this->options.block_after_crashes) {
         this->own.erase(found);
       }
     }
@@ -77,7 +77,7 @@
   Entries& entries = this->peers[host];
   entries.clear();
   for (const Suspicion& suspicion :
-       suspicions | std::views::take(this->options.in_digest)) {
+       suspicions | std::views::take(this->options.max_in_digest)) {
     entries[suspicion.fingerprint] = {suspicion.crashes, now};
   }
 }
@@ -100,8 +100,8 @@
   return this->Crashes(now, fingerprint) > 0;
 }
 
-bool Suspects::IsCondemned(Instant now, uint64_t fingerprint) const {
-  return this->Crashes(now, fingerprint) >= this->options.condemned_after;
+bool Suspects::IsBlocked(Instant now, uint64_t fingerprint) const {
+  return this->Crashes(now, fingerprint) >= this->options.block_after_crashes;
 }
 
 std::vector<Suspicion> Suspects::Own() const {
@@ -113,7 +113,7 @@
     return std::pair(b.crashes, a.fingerprint) <
            std::pair(a.crashes, b.fingerprint);
   });
-  all.resize(std::min(all.size(), this->options.in_digest));
+  all.resize(std::min(all.size(), this->options.max_in_digest));
   return all;
 }
 
--- a/packages/decisions/suspects.h
+++ b/packages/decisions/suspects.h
@@ -25,11 +25,11 @@
 
 // Thresholds and sizes.
 struct SuspectsOptions {
-  int64_t condemned_after = 2;  // crashes until a request is refused
+  int64_t block_after_crashes = 2;  // crashes until a request is refused
   Duration memory = std::chrono::minutes(10);
-  Duration zone_window = std::chrono::seconds(3);
-  size_t capacity = 4096;  // fingerprints kept
-  size_t in_digest = 64;   // fingerprints sent to peers
+  Duration zone_loss_window = std::chrono::seconds(3);
+  size_t capacity = 4096;     // fingerprints kept
+  size_t max_in_digest = 64;  // fingerprints sent to peers
 
   auto operator<=>(const SuspectsOptions&) const = default;
 };
@@ -57,7 +57,7 @@
   int64_t Crashes(Instant now, uint64_t fingerprint) const;
 
   bool IsSuspected(Instant now, uint64_t fingerprint) const;
-  bool IsCondemned(Instant now, uint64_t fingerprint) const;
+  bool IsBlocked(Instant now, uint64_t fingerprint) const;
 
   // Crashes seen by this host, most crashes first.
   std::vector<Suspicion> Own() const;
@@ -76,7 +76,7 @@
 
   // Whether the crash was part of the loss of a zone. If so, also clears the
   // requests of the earlier crash.
-  bool ClearedByZone(const Crash& crash);
+  bool ClearIfZoneLost(const Crash& crash);
   void Forget(Instant now);
 
   SuspectsOptions options;
--- a/packages/decisions/usage.cc
+++ b/packages/decisions/usage.cc
@@ -72,7 +72,7 @@
   return found != window.ended.end() && source.incarnation <= found->second;
 }
 
-bool NeverNegative(const UsageCount& count) {
+bool IsNonNegative(const UsageCount& count) {
   return count.prompt_tokens >= 0 && count.generated_tokens >= 0 &&
          count.requests >= 0;
 }
@@ -85,7 +85,7 @@
   for (const auto& [account, count] : counts) {
     const UsageCount reached = Find(counted, account).Highest(count);
     const UsageCount grown = reached.Minus(Find(counted, account));
-    assert(NeverNegative(grown) && "usage counted in a window never decreases");
+    assert(IsNonNegative(grown) && "usage counted in a window never decreases");
     if (grown != kNothing) {
       UsageCount& figure = window.figures[account];
       figure = figure.Plus(grown);
@@ -119,7 +119,7 @@
     : copy{.source = std::move(source)} {}
 
 void UsageMeter::Add(const AccountId& account, const UsageCount& used) {
-  assert(NeverNegative(used) && "usage is counted up, never down");
+  assert(IsNonNegative(used) && "usage is counted up, never down");
   UsageCount& count = this->copy.counts[account];
   count = count.Plus(used);
 }
--- a/packages/decisions/usage_windows.cc
+++ b/packages/decisions/usage_windows.cc
@@ -83,7 +83,7 @@
   return (number + 1) * ToMilliseconds(this->window);
 }
 
-void UsageWindows::OnBegun(int64_t unix_ms, const AccountId& account) {
+void UsageWindows::OnRequestStarted(int64_t unix_ms, const AccountId& account) {
   ++this->copies[this->self].windows[this->WindowAt(unix_ms)][account];
 }
 
--- a/packages/decisions/usage_windows.h
+++ b/packages/decisions/usage_windows.h
@@ -58,7 +58,7 @@
       : self(std::move(self)), window(window) {}
 
   // A request of an account started on this host.
-  void OnBegun(int64_t unix_ms, const AccountId& account);
+  void OnRequestStarted(int64_t unix_ms, const AccountId& account);
 
   // This host's counts, complete up to `unix_ms`. Drops windows that are too
   // old to be reported.
--- a/packages/endpoints/attempt.cc
+++ b/packages/endpoints/attempt.cc
@@ -18,24 +18,24 @@
 
 // Maps the end of an HTTP exchange to the outcome of the attempt. kWhole is not
 // listed: its outcome depends on the content.
-struct EndRow {
+struct OutcomeRow {
   HttpEnd end;
   AttemptOutcome outcome;
 };
 
 constexpr std::array kOutcomes = {
-    EndRow{HttpEnd::kNoMarker, AttemptOutcome::kBroken},
-    EndRow{HttpEnd::kNotSent, AttemptOutcome::kNotSent},
-    EndRow{HttpEnd::kReset, AttemptOutcome::kCrashed},
-    EndRow{HttpEnd::kSilent, AttemptOutcome::kSilent},
-    EndRow{HttpEnd::kProtocol, AttemptOutcome::kWrongAnswer},
-    EndRow{HttpEnd::kCancelled, AttemptOutcome::kCancelled},
+    OutcomeRow{HttpEnd::kNoEndMarker, AttemptOutcome::kBroken},
+    OutcomeRow{HttpEnd::kNotSent, AttemptOutcome::kNotSent},
+    OutcomeRow{HttpEnd::kReset, AttemptOutcome::kCrashed},
+    OutcomeRow{HttpEnd::kSilent, AttemptOutcome::kSilent},
+    OutcomeRow{HttpEnd::kProtocol, AttemptOutcome::kWrongAnswer},
+    OutcomeRow{HttpEnd::kCancelled, AttemptOutcome::kCancelled},
 };
 
 // Whether the endpoint states explicitly that it did not run the request. A 503
 // without this statement may come from a proxy, after the endpoint has run the
 // request.
-bool SaysNotRun(int status, const std::string& body) {
+bool ReportsNotRun(int status, const std::string& body) {
   if (status != kStatusUnavailable) {
     return false;
   }
@@ -57,7 +57,7 @@
   this->end.result.attempt = this->call.attempt;
 }
 
-HttpOutgoing Attempt::Outgoing() {
+HttpClientRequest Attempt::Outgoing() {
   HttpHeaders headers = std::move(this->call.headers);
   headers.push_back({"X-Request-Id", this->call.request.Text()});
   headers.push_back({"X-Attempt", std::to_string(this->call.attempt)});
@@ -83,21 +83,22 @@
   const auto self = this->shared_from_this();
   this->exchange = http.Send(
       this->Outgoing(),
-      {.on_head = [self](const HttpAnswerHead& head) { self->TakeHead(head); },
+      {.on_head =
+           [self](const HttpResponseHead& head) { self->TakeHead(head); },
        .on_bytes = [self](std::string_view bytes) { self->TakeBytes(bytes); },
        .on_end =
            [self](HttpEnd end, const std::string& detail) {
-             self->TransportEnded(end, detail);
+             self->OnTransportEnd(end, detail);
            }});
 }
 
-void Attempt::TakeHead(const HttpAnswerHead& head) {
+void Attempt::TakeHead(const HttpResponseHead& head) {
   if (this->over) {
     return;
   }
   this->end.status = head.status;
   this->end.headers = head.headers;
-  if (!this->IsMine(head)) {
+  if (!this->HasMatchingIds(head)) {
     this->End(AttemptOutcome::kWrongAnswer,
               "the answer has the id of another request or attempt, or none");
     return;
@@ -112,7 +113,7 @@
 // swap two answers, and a caller would then receive another caller's answer.
 // Only the echoed ids reveal this, so an answer that does not echo the
 // request's id is rejected too.
-bool Attempt::IsMine(const HttpAnswerHead& head) const {
+bool Attempt::HasMatchingIds(const HttpResponseHead& head) const {
   if (!this->options.check_identity) {
     return true;
   }
@@ -122,7 +123,7 @@
          (!attempt || *attempt == std::to_string(this->call.attempt));
 }
 
-Attempt::Mode Attempt::ModeFor(const HttpAnswerHead& head) const {
+Attempt::Mode Attempt::ModeFor(const HttpResponseHead& head) const {
   if (this->call.shape == AnswerShape::kBytes) {
     return head.status == kStatusUnavailable ? Mode::kCollect : Mode::kPassOn;
   }
@@ -143,7 +144,7 @@
   }
   this->received += std::ssize(bytes);
   if (this->mode == Mode::kChunks) {
-    if (this->received > this->options.max_whole_bytes) {
+    if (this->received > this->options.max_answer_bytes) {
       this->End(AttemptOutcome::kWrongAnswer, "the answer is too long");
     } else if (!this->parser.Feed(bytes)) {
       this->End(AttemptOutcome::kWrongAnswer,
@@ -152,7 +153,7 @@
     return;
   }
   this->end.body.append(bytes);
-  if (this->received > this->options.max_whole_bytes) {
+  if (this->received > this->options.max_answer_bytes) {
     this->End(AttemptOutcome::kWrongAnswer, "the answer is too long");
   }
 }
@@ -194,7 +195,7 @@
   this->end.result.cached_tokens = usage.cached_tokens;
 }
 
-void Attempt::TransportEnded(HttpEnd how, const std::string& detail) {
+void Attempt::OnTransportEnd(HttpEnd how, const std::string& detail) {
   if (this->over) {
     return;
   }
@@ -202,7 +203,7 @@
     this->End(this->JudgeWhole(), "");
     return;
   }
-  const auto* row = std::ranges::find(kOutcomes, how, &EndRow::end);
+  const auto* row = std::ranges::find(kOutcomes, how, &OutcomeRow::end);
   this->End(row->outcome, detail);
 }
 
@@ -214,7 +215,7 @@
   if (this->mode == Mode::kChunks) {
     return AttemptOutcome::kBroken;  // ended before [DONE]
   }
-  if (SaysNotRun(this->end.status, this->end.body)) {
+  if (ReportsNotRun(this->end.status, this->end.body)) {
     return AttemptOutcome::kRefused;
   }
   if (this->call.shape == AnswerShape::kBytes) {
--- a/packages/endpoints/endpoint_client.cc
+++ b/packages/endpoints/endpoint_client.cc
@@ -142,13 +142,13 @@
     std::string body;
   };
   const auto answer = std::make_shared<Answer>();
-  const auto limit = static_cast<size_t>(this->options.max_whole_bytes);
+  const auto limit = static_cast<size_t>(this->options.max_answer_bytes);
   this->http.Send(
       {.address = address,
        .target = std::move(target),
        .timeouts = this->options.control},
       {.on_head =
-           [answer](const HttpAnswerHead& head) {
+           [answer](const HttpResponseHead& head) {
              answer->status = head.status;
            },
        .on_bytes =
--- a/packages/endpoints/endpoint_client.h
+++ b/packages/endpoints/endpoint_client.h
@@ -41,7 +41,7 @@
 struct EndpointClientOptions {
   HttpClientOptions http;
   // The largest completion accepted from an engine, in bytes.
-  int64_t max_whole_bytes = int64_t{64} << 20;
+  int64_t max_answer_bytes = int64_t{64} << 20;
   // Timeouts of control calls (load, cache events, health, cancel), which are
   // short.
   HttpTimeouts control = {.connect = std::chrono::seconds(1),
@@ -74,7 +74,7 @@
   bool batch = false;       // low priority: may wait behind interactive work
   int64_t resume_from = 0;  // generated tokens received so far
   HttpTimeouts timeouts;
-  std::function<bool()> may_send;  // see HttpOutgoing
+  std::function<bool()> may_send;  // see HttpClientRequest
 };
 
 // The result of an attempt, with the answer to forward to the caller if there
@@ -90,7 +90,7 @@
 // Callbacks of an attempt. on_end is the last and is called once.
 struct AttemptEvents {
   // kBytes: the status and headers of an answer to forward.
-  std::function<void(const HttpAnswerHead&)> on_head;
+  std::function<void(const HttpResponseHead&)> on_head;
   // kBytes: the next piece of the body.
   std::function<void(std::string_view)> on_bytes;
   // kChunks: one event, as received and as parsed.
@@ -131,14 +131,14 @@
   enum class Mode { kChunks, kPassOn, kCollect };
 
   void Start(HttpClient& http);
-  HttpOutgoing Outgoing();
-  void TakeHead(const HttpAnswerHead& head);
-  bool IsMine(const HttpAnswerHead& head) const;
-  Mode ModeFor(const HttpAnswerHead& head) const;
+  HttpClientRequest Outgoing();
+  void TakeHead(const HttpResponseHead& head);
+  bool HasMatchingIds(const HttpResponseHead& head) const;
+  Mode ModeFor(const HttpResponseHead& head) const;
   void TakeBytes(std::string_view bytes);
   void TakeEvent(std::string_view data);
   void TakeUsage(const CompletionUsage& usage);
-  void TransportEnded(HttpEnd end, const std::string& detail);
+  void OnTransportEnd(HttpEnd end, const std::string& detail);
   AttemptOutcome JudgeWhole();
   void End(AttemptOutcome outcome, const std::string& detail);
 
--- a/packages/endpoints/order_client.cc
+++ b/packages/endpoints/order_client.cc
@@ -124,12 +124,12 @@
       });
 }
 
-void OrderClient::Exchange(HttpOutgoing outgoing,
+void OrderClient::Exchange(HttpClientRequest outgoing,
                            std::function<void(const Answer&)> done) {
   const auto answer = std::make_shared<Answer>();
   this->http.Send(std::move(outgoing),
                   {.on_head =
-                       [answer](const HttpAnswerHead& head) {
+                       [answer](const HttpResponseHead& head) {
                          answer->status = head.status;
                        },
                    .on_bytes =
--- a/packages/endpoints/order_client.h
+++ b/packages/endpoints/order_client.h
@@ -99,7 +99,8 @@
  private:
   struct Answer;
 
-  void Exchange(HttpOutgoing outgoing, std::function<void(const Answer&)> done);
+  void Exchange(HttpClientRequest outgoing,
+                std::function<void(const Answer&)> done);
 
   HttpTimeouts timeouts;
   HttpClient http;
--- a/packages/endpoints/prompt.cc
+++ b/packages/endpoints/prompt.cc
@@ -19,7 +19,7 @@
   return text;
 }
 
-struct StateFree {
+struct HashStateDeleter {
   void operator()(XXH3_state_t* state) const { XXH3_freeState(state); }
 };
 
@@ -42,7 +42,8 @@
 }
 
 std::vector<uint64_t> PrefixHashes(std::string_view text) {
-  const std::unique_ptr<XXH3_state_t, StateFree> state(XXH3_createState());
+  const std::unique_ptr<XXH3_state_t, HashStateDeleter> state(
+      XXH3_createState());
   XXH3_64bits_reset(state.get());
   std::vector<uint64_t> hashes;
   while (std::ssize(text) >= kPieceBytes) {
--- a/packages/endpoints/sse.cc
+++ b/packages/endpoints/sse.cc
@@ -10,7 +10,8 @@
 
 bool SseParser::Feed(std::string_view bytes) {
   while (!bytes.empty()) {
-    if (std::exchange(this->after_return, false) && bytes.front() == '\n') {
+    if (std::exchange(this->after_carriage_return, false) &&
+        bytes.front() == '\n') {
       bytes.remove_prefix(1);
       continue;
     }
@@ -19,7 +20,7 @@
       this->line.append(bytes);
       break;
     }
-    this->after_return = bytes[end] == '\r';
+    this->after_carriage_return = bytes[end] == '\r';
     if (this->line.empty()) {
       this->TakeLine(bytes.substr(0, end));
     } else {
--- a/packages/endpoints/sse.h
+++ b/packages/endpoints/sse.h
@@ -36,7 +36,7 @@
   std::string line;  // incomplete line
   std::string data;  // of the incomplete event
   bool has_data = false;
-  bool after_return = false;  // a line feed now completes a CR LF
+  bool after_carriage_return = false;  // a line feed now completes a CR LF
 };
 
 // Formats one event. The data must not contain a line break.
--- a/packages/gateway/completion_body.cc
+++ b/packages/gateway/completion_body.cc
@@ -14,7 +14,7 @@
 namespace {
 
 // Assumed length of an answer if the caller sets no limit, in tokens.
-constexpr int64_t kOutputGuess = 256;
+constexpr int64_t kDefaultOutputTokens = 256;
 constexpr int64_t kMaxOutputTokens = int64_t{1} << 20;
 
 constexpr std::string_view kZeroEscape = "\\u0000";
@@ -30,7 +30,7 @@
 
 // Request members whose answers consist of more than one text that grows, so
 // that they can't be assembled from a stream.
-constexpr std::array<std::string_view, 6> kNotByChunks = {
+constexpr std::array<std::string_view, 6> kUnstreamableMembers = {
     "tools", "functions", "logprobs", "best_of", "echo", "audio"};
 
 Result<void> BadBody(std::string message) {
@@ -72,11 +72,11 @@
   return {};
 }
 
-bool AsksForMore(const Json& json) {
+bool NeedsWholeAnswer(const Json& json) {
   if (json.At("n").Integer(1) != 1) {
     return true;
   }
-  return std::ranges::any_of(kNotByChunks, [&](std::string_view name) {
+  return std::ranges::any_of(kUnstreamableMembers, [&](std::string_view name) {
     const Json member = json.At(name);
     return member.Exists() && !(member.IsFlag() && !member.Flag());
   });
@@ -113,7 +113,8 @@
 int64_t OutputTokens(const Json& json) {
   const Json newer = json.At("max_completion_tokens");
   const Json limit = newer.IsInteger() ? newer : json.At("max_tokens");
-  return std::clamp<int64_t>(limit.Integer(kOutputGuess), 1, kMaxOutputTokens);
+  return std::clamp<int64_t>(limit.Integer(kDefaultOutputTokens), 1,
+                             kMaxOutputTokens);
 }
 
 // The caller's body, changed to request a stream that ends with the token
@@ -193,8 +194,9 @@
   body.prompt_tokens = EstimateTokens(prompt);
   body.output_tokens = OutputTokens(*json);
   body.prefix_hashes = PrefixHashes(prompt);
-  body.by_chunks = body.stream || !AsksForMore(*json);
-  body.engine_body = body.by_chunks ? StreamingBody(*json) : std::string(text);
+  body.use_engine_stream = body.stream || !NeedsWholeAnswer(*json);
+  body.engine_body =
+      body.use_engine_stream ? StreamingBody(*json) : std::string(text);
   // The parser converts an unpaired surrogate into bytes that are not UTF-8.
   if (!IsUtf8(body.engine_body) || !IsUtf8(prompt)) {
     return Fail(ErrorKind::kBadRequest,
--- a/packages/gateway/completion_body.h
+++ b/packages/gateway/completion_body.h
@@ -51,7 +51,7 @@
   // the answer can be resumed at another endpoint. False where a whole answer
   // can't be assembled from a stream (several choices, log probabilities,
   // tools).
-  bool by_chunks = true;
+  bool use_engine_stream = true;
   std::string engine_body;  // the body sent to the engine
 
   bool operator==(const CompletionBody&) const = default;
--- a/packages/gateway/decision_log.cc
+++ b/packages/gateway/decision_log.cc
@@ -96,7 +96,7 @@
 
 void DecisionLog::Record(int64_t wall_milliseconds,
                          const RequestId& request,
-                         const LimitAsk& ask,
+                         const LimitRequest& ask,
                          const LimitDecision& decision) {
   const LimitVerdict& verdict = decision.verdict;
   this->Keep(
@@ -129,7 +129,7 @@
   }
 }
 
-std::vector<Decision> DecisionLog::About(const RequestId& request) const {
+std::vector<Decision> DecisionLog::ForRequest(const RequestId& request) const {
   std::vector<Decision> found;
   std::ranges::copy_if(
       this->kept, std::back_inserter(found),
--- a/packages/gateway/decision_log.h
+++ b/packages/gateway/decision_log.h
@@ -64,11 +64,11 @@
   // Records that a request was refused because its account is over its limit.
   void Record(int64_t wall_milliseconds,
               const RequestId& request,
-              const LimitAsk& ask,
+              const LimitRequest& ask,
               const LimitDecision& decision);
 
   // The decisions about a request that are still in memory, oldest first.
-  std::vector<Decision> About(const RequestId& request) const;
+  std::vector<Decision> ForRequest(const RequestId& request) const;
 
  private:
   void Keep(Decision decision);
--- a/packages/gateway/endpoint_watcher.cc
+++ b/packages/gateway/endpoint_watcher.cc
@@ -14,11 +14,11 @@
       events(std::move(events)) {
   if (options.load_period > Duration::zero()) {
     this->load_timer =
-        Timer::Every(options.load_period, [this] { this->AskForLoads(); });
+        Timer::Every(options.load_period, [this] { this->PollLoads(); });
   }
   if (options.cache_period > Duration::zero()) {
     this->cache_timer =
-        Timer::Every(options.cache_period, [this] { this->AskForCaches(); });
+        Timer::Every(options.cache_period, [this] { this->PollCaches(); });
   }
 }
 
@@ -32,7 +32,7 @@
     return !this->configuration->endpoints.contains(entry.first);
   };
   std::erase_if(this->positions, removed);
-  std::erase_if(this->load_asked, removed);
+  std::erase_if(this->load_in_flight, removed);
 }
 
 void EndpointWatcher::ForEachEngine(
@@ -49,9 +49,9 @@
 
 // One request at a time per engine; otherwise requests to an engine that does
 // not respond would accumulate.
-void EndpointWatcher::AskForLoads() {
+void EndpointWatcher::PollLoads() {
   this->ForEachEngine([this](const Endpoint& endpoint) {
-    if (std::exchange(this->load_asked[endpoint.id], true)) {
+    if (std::exchange(this->load_in_flight[endpoint.id], true)) {
       return;
     }
     this->client.FetchLoad(endpoint.id, endpoint.address,
@@ -60,7 +60,7 @@
                              if (!*alive) {
                                return;
                              }
-                             this->load_asked[id] = false;
+                             this->load_in_flight[id] = false;
                              if (report) {
                                this->events.on_load(*report);
                              }
@@ -68,7 +68,7 @@
   });
 }
 
-void EndpointWatcher::AskForCaches() {
+void EndpointWatcher::PollCaches() {
   this->ForEachEngine([this](const Endpoint& endpoint) {
     CachePosition& position = this->positions[endpoint.id];
     if (std::exchange(position.asked, true)) {
@@ -79,7 +79,7 @@
         [this, alive = this->alive,
          id = endpoint.id](const Result<std::vector<CacheEvent>>& events) {
           if (*alive) {
-            this->TakeCacheEvents(id, events);
+            this->HandleCacheEvents(id, events);
           }
         });
   });
@@ -88,7 +88,7 @@
 // After a restart the engine counts sequence numbers from the beginning again.
 // Events that follow a restart are therefore ignored up to a snapshot, which
 // the next poll requests with sequence number 0.
-void EndpointWatcher::TakeCacheEvents(
+void EndpointWatcher::HandleCacheEvents(
     const EndpointId& endpoint,
     const Result<std::vector<CacheEvent>>& events) {
   CachePosition& position = this->positions[endpoint];
--- a/packages/gateway/endpoint_watcher.h
+++ b/packages/gateway/endpoint_watcher.h
@@ -55,10 +55,10 @@
     bool asked = false;  // a request is in flight
   };
 
-  void AskForLoads();
-  void AskForCaches();
-  void TakeCacheEvents(const EndpointId& endpoint,
-                       const Result<std::vector<CacheEvent>>& events);
+  void PollLoads();
+  void PollCaches();
+  void HandleCacheEvents(const EndpointId& endpoint,
+                         const Result<std::vector<CacheEvent>>& events);
   void ForEachEngine(const std::function<void(const Endpoint&)>& call) const;
 
   DataCentreId data_centre;
@@ -66,7 +66,7 @@
   EndpointWatcherEvents events;
   ConfigurationPtr configuration = std::make_shared<Configuration>();
   std::map<EndpointId, CachePosition> positions;
-  std::map<EndpointId, bool> load_asked;
+  std::map<EndpointId, bool> load_in_flight;
   std::unique_ptr<Timer> load_timer;
   std::unique_ptr<Timer> cache_timer;
   std::shared_ptr<bool> alive = std::make_shared<bool>(true);
--- a/packages/gateway/gateway.cc
+++ b/packages/gateway/gateway.cc
@@ -72,7 +72,7 @@
   return headers;
 }
 
-bool HoldsKey(const HttpRequest& request, const std::string& key) {
+bool ContainsApiKey(const HttpRequest& request, const std::string& key) {
   return request.raw_path.find(key) != std::string::npos ||
          request.query.find(key) != std::string::npos ||
          request.body.find(key) != std::string::npos;
@@ -170,7 +170,7 @@
 void Gateway::AnnounceLeaving(Instant ends_at) {
   this->leaving = true;
   this->server->CloseAfterAnswers();
-  this->driver->SetEnd(ends_at);
+  this->driver->SetProcessEnd(ends_at);
 }
 
 // The driver does not cover requests whose bodies are still being read, nor
@@ -190,7 +190,7 @@
 }
 
 std::vector<Decision> Gateway::RecentDecisions(const RequestId& request) const {
-  return this->driver->Decisions().About(request);
+  return this->driver->Decisions().ForRequest(request);
 }
 
 std::map<std::string, int64_t> Gateway::Refusals() const {
@@ -354,7 +354,7 @@
   if (!caller) {
     return tl::unexpected(caller.error());
   }
-  if (HoldsKey(http, caller->key)) {
+  if (ContainsApiKey(http, caller->key)) {
     return Fail(ErrorKind::kBadRequest, "The API key stands in the request.");
   }
   Result<CompletionBody> body =
@@ -389,9 +389,10 @@
   const RelayOptions relay{.kind = kind, .include_usage = body->include_usage};
   incoming.key_hash = caller->key_hash;
   incoming.call = call;
-  incoming.relay = body->stream      ? MakeStreamRelay(call, id, relay)
-                   : body->by_chunks ? MakeAssemblyRelay(call, id, relay)
-                                     : MakeWholeRelay(call, id);
+  incoming.relay = body->stream ? MakeStreamRelay(call, id, relay)
+                   : body->use_engine_stream
+                       ? MakeAssemblyRelay(call, id, relay)
+                       : MakeWholeRelay(call, id);
   incoming.target = http.path;
   incoming.content_type = "application/json";
   incoming.body = std::move(body->engine_body);
@@ -407,7 +408,7 @@
   if (!caller) {
     return tl::unexpected(caller.error());
   }
-  if (HoldsKey(http, caller->key)) {
+  if (ContainsApiKey(http, caller->key)) {
     return Fail(ErrorKind::kBadRequest, "The API key stands in the request.");
   }
   const std::string rest = http.raw_path.substr(
@@ -437,8 +438,8 @@
       .deadline = now + (*service)->deadline};
   incoming.key_hash = caller->key_hash;
   incoming.call = call;
-  incoming.relay =
-      MakeBytesRelay(call, id, {.hold_bytes = this->options.hold_bytes});
+  incoming.relay = MakeBytesRelay(
+      call, id, {.max_buffered_bytes = this->options.max_buffered_bytes});
   incoming.method = http.method;
   incoming.target = slash < rest.size() ? rest.substr(slash) : "/";
   incoming.target += http.query.empty() ? "" : "?" + http.query;
--- a/packages/gateway/gateway.h
+++ b/packages/gateway/gateway.h
@@ -48,7 +48,7 @@
   Duration tick = std::chrono::milliseconds(10);
   // Deadline of batch requests, from their arrival.
   Duration batch_deadline = std::chrono::hours(24);
-  int64_t hold_bytes = int64_t{1} << 20;  // see RelayOptions
+  int64_t max_buffered_bytes = int64_t{1} << 20;  // see RelayOptions
   EndpointWatcherOptions watcher;
 };
 
@@ -81,10 +81,10 @@
 
   // Sets whether API keys are accepted. A data centre that was partitioned for
   // too long can't tell which keys have been revoked and rejects them all.
-  void TrustKeys(bool trusted) { this->keys_trusted = trusted; }
+  void SetKeysTrusted(bool trusted) { this->keys_trusted = trusted; }
 
   void OnDigest(const Digest& digest) { this->driver->OnDigest(digest); }
-  void OnHostGone(const HostId& host) { this->driver->OnHostGone(host); }
+  void OnHostLost(const HostId& host) { this->driver->OnHostLost(host); }
   void FillDigest(Digest& digest) const { this->driver->FillDigest(digest); }
 
   // Makes /readyz fail, so that the load balancer stops sending new calls.
--- a/packages/gateway/relay.cc
+++ b/packages/gateway/relay.cc
@@ -70,7 +70,7 @@
     if (this->call->Started()) {
       this->Fail({ErrorKind::kBrokenAnswer, "The answer can't be resumed."});
     } else {
-      this->AnswerWith(end);
+      this->ForwardAnswer(end);
     }
   }
 
@@ -106,7 +106,7 @@
 
   void Finish(const AttemptEnd& end) override {
     if (end.result.outcome != AttemptOutcome::kComplete) {
-      this->AnswerWith(end);
+      this->ForwardAnswer(end);
       return;
     }
     this->call->Answer(kStatusOk,
@@ -163,7 +163,7 @@
   using Relay::Relay;
 
   AnswerShape Shape() const override { return AnswerShape::kWhole; }
-  void Finish(const AttemptEnd& end) override { this->AnswerWith(end); }
+  void Finish(const AttemptEnd& end) override { this->ForwardAnswer(end); }
 };
 
 // -- Plain services ----------------------------------------------------------
@@ -178,7 +178,7 @@
 
   AnswerShape Shape() const override { return AnswerShape::kBytes; }
 
-  void OnHead(AttemptId attempt, const HttpAnswerHead& head) override {
+  void OnHead(AttemptId attempt, const HttpResponseHead& head) override {
     this->held[attempt].head = head;
   }
 
@@ -189,7 +189,8 @@
     }
     Held& part = this->held[attempt];
     part.body.append(bytes);
-    if (this->bound == 0 && std::ssize(part.body) > this->options.hold_bytes) {
+    if (this->bound == 0 &&
+        std::ssize(part.body) > this->options.max_buffered_bytes) {
       this->bound = attempt;
       this->call->StartStream(part.head.status, this->HeadersOf(part.head));
       this->call->Write(std::exchange(part.body, {}));
@@ -205,7 +206,7 @@
     }
     const auto found = this->held.find(end.result.attempt);
     if (found == this->held.end()) {
-      this->AnswerWith(end);
+      this->ForwardAnswer(end);
       return;
     }
     const Held& part = found->second;
@@ -216,11 +217,11 @@
 
  private:
   struct Held {
-    HttpAnswerHead head;
+    HttpResponseHead head;
     std::string body;
   };
 
-  HttpHeaders HeadersOf(const HttpAnswerHead& head) const {
+  HttpHeaders HeadersOf(const HttpResponseHead& head) const {
     HttpHeaders headers = ForwardableHeaders(head.headers);
     headers.push_back({"X-Request-Id", this->request.Text()});
     return headers;
@@ -244,7 +245,7 @@
   }
 }
 
-void Relay::AnswerWith(const AttemptEnd& end) {
+void Relay::ForwardAnswer(const AttemptEnd& end) {
   HttpHeaders headers = ForwardableHeaders(end.headers);
   headers.push_back({"X-Request-Id", this->request.Text()});
   this->call->Answer(end.status, headers, end.body);
--- a/packages/gateway/relay.h
+++ b/packages/gateway/relay.h
@@ -36,7 +36,7 @@
   virtual AnswerShape Shape() const = 0;
 
   // Events of an attempt, see AttemptEvents.
-  virtual void OnHead(AttemptId, const HttpAnswerHead&) {}
+  virtual void OnHead(AttemptId, const HttpResponseHead&) {}
   virtual void OnBytes(AttemptId, std::string_view) {}
   virtual void OnChunk(std::string_view, const CompletionChunk&) {}
 
@@ -61,7 +61,7 @@
 
  protected:
   // Forwards an endpoint's answer unchanged.
-  void AnswerWith(const AttemptEnd& end);
+  void ForwardAnswer(const AttemptEnd& end);
 
   HttpCallPtr call;
   RequestId request;
@@ -74,7 +74,7 @@
   bool include_usage = false;
   // An answer of a plain service is buffered up to this size. Until then the
   // request can still be retried at another endpoint.
-  int64_t hold_bytes = int64_t{1} << 20;
+  int64_t max_buffered_bytes = int64_t{1} << 20;
 };
 
 std::unique_ptr<Relay> MakeStreamRelay(HttpCallPtr call,
--- a/packages/gateway/request_driver.cc
+++ b/packages/gateway/request_driver.cc
@@ -20,7 +20,7 @@
 
 // Retry-After while this host shuts down. Short, since another host can accept
 // the request at once.
-constexpr Duration kRetryElsewhere = std::chrono::seconds(1);
+constexpr Duration kRetryElsewhereDelay = std::chrono::seconds(1);
 
 AnswerKind KindOf(const IncomingRequest& incoming) {
   const Request& request = incoming.request;
@@ -57,7 +57,7 @@
       clock(clock),
       metrics(metrics),
       client(this->options.endpoints, metrics),
-      decisions(this->options.remembered_decisions) {}
+      decisions(this->options.decision_log_capacity) {}
 
 RequestDriver::~RequestDriver() {
   *this->alive = false;
@@ -84,7 +84,7 @@
   const RequestId id = request.id;
   incoming.call->OnGone([this, alive = this->alive, id] {
     if (*alive) {
-      this->OnCallerGone(id);
+      this->OnCallerDisconnected(id);
     }
   });
   const auto [where, inserted] =
@@ -93,7 +93,7 @@
   const auto limit = this->limits.find(request.account);
   if (limit != this->limits.end() && this->hooks.take_tokens &&
       this->MayStart(where->second)) {
-    this->AskForTokens(where->second, limit->second);
+    this->RequestTokens(where->second, limit->second);
   } else {
     this->Admit(id);
   }
@@ -109,7 +109,7 @@
     this->Apply({{.kind = DispatchKind::kRefuse,
                   .request = id,
                   .reason = "refused on arrival",
-                  .error = ErrorAtEnd(live)}});
+                  .error = ErrorAtProcessEnd(live)}});
     return;
   }
   this->Apply(
@@ -118,10 +118,11 @@
 
 // -- Tokens of the account's limit -------------------------------------------
 
-void RequestDriver::AskForTokens(LiveRequest& live, const AccountLimit& limit) {
+void RequestDriver::RequestTokens(LiveRequest& live,
+                                  const AccountLimit& limit) {
   const Request& request = live.incoming.request;
   const RequestId id = request.id;
-  const LimitAsk ask{
+  const LimitRequest ask{
       .account = request.account,
       .cost = limit.CostOf(request.prompt_tokens, request.output_tokens),
       .priority = LimitPriority(request)};
@@ -136,14 +137,14 @@
 }
 
 void RequestDriver::OnTokens(const RequestId& id,
-                             const LimitAsk& ask,
+                             const LimitRequest& ask,
                              LimitUnit unit,
                              const LimitDecision& decision) {
   const LimitVerdict& verdict = decision.verdict;
   LiveRequest* live = this->Find(id);
   if (live == nullptr) {
     if (verdict.granted) {
-      this->hooks.give_back_tokens(ask.account, unit, ask.cost);
+      this->hooks.return_tokens(ask.account, unit, ask.cost);
     }
     return;
   }
@@ -174,8 +175,8 @@
   const bool may_have_run =
       live.may_have_run || live.abandoned_may_have_run || AnyMayHaveSent(live);
   if (live.charge.held && !may_have_run) {
-    this->hooks.give_back_tokens(request.account, live.charge.unit,
-                                 live.charge.cost);
+    this->hooks.return_tokens(request.account, live.charge.unit,
+                              live.charge.cost);
   }
 }
 
@@ -191,8 +192,8 @@
   this->Apply(this->dispatcher->OnDigest(this->clock.Now(), digest));
 }
 
-void RequestDriver::OnHostGone(const HostId& host) {
-  this->dispatcher->OnHostGone(this->clock.Now(), host);
+void RequestDriver::OnHostLost(const HostId& host) {
+  this->dispatcher->OnHostLost(this->clock.Now(), host);
 }
 
 void RequestDriver::Tick() {
@@ -236,9 +237,9 @@
     this->Apply({{.kind = DispatchKind::kRefuse,
                   .request = id,
                   .reason = "this host stops",
-                  .error = ErrorAtEnd(live)}});
+                  .error = ErrorAtProcessEnd(live)}});
   }
-  this->Apply(this->dispatcher->OnCallerGone(this->clock.Now(), id));
+  this->Apply(this->dispatcher->OnCallerDisconnected(this->clock.Now(), id));
 }
 
 bool RequestDriver::AnyMayHaveSent(const LiveRequest& live) {
@@ -247,7 +248,7 @@
   });
 }
 
-Error RequestDriver::ErrorAtEnd(const LiveRequest& live) {
+Error RequestDriver::ErrorAtProcessEnd(const LiveRequest& live) {
   if (live.incoming.call->Started()) {
     return {ErrorKind::kBrokenAnswer,
             "The host stopped before the answer was whole.",
@@ -258,7 +259,8 @@
             "The host stopped while the request ran.",
             {}};
   }
-  return {ErrorKind::kShuttingDown, "This host is leaving.", kRetryElsewhere};
+  return {ErrorKind::kShuttingDown, "This host is leaving.",
+          kRetryElsewhereDelay};
 }
 
 void RequestDriver::Apply(DispatchList actions) {
@@ -302,8 +304,8 @@
 // Checks the key again when a request starts, since it may have been revoked
 // while the request was queued; otherwise the account's queued requests would
 // still run. Requests that are already running are completed.
-bool RequestDriver::Permitted(LiveRequest& live) {
-  if (live.permitted || !this->options.check_keys_again) {
+bool RequestDriver::CheckKeyAgain(LiveRequest& live) {
+  if (live.permitted || !this->options.recheck_keys) {
     return true;
   }
   const auto key = this->configuration->keys.find(live.incoming.key_hash);
@@ -327,7 +329,7 @@
                 .request = id,
                 .reason = std::move(reason),
                 .error = std::move(error)}});
-  this->Apply(this->dispatcher->OnCallerGone(this->clock.Now(), id));
+  this->Apply(this->dispatcher->OnCallerDisconnected(this->clock.Now(), id));
 }
 
 // Whether a request that starts now is expected to be answered in full before
@@ -346,7 +348,7 @@
   return CanFinish(
       *this->ends_at - now,
       {.limit = Duration::max(),
-       .expected = this->answer_times.Longest(now, KindOf(live.incoming))
+       .expected = this->answer_times.P95(now, KindOf(live.incoming))
                        .value_or(first_byte)});
 }
 
@@ -378,7 +380,7 @@
 
 void RequestDriver::Claim(const Dispatch& action) {
   LiveRequest& live = *this->Find(action.request);
-  if (!this->Permitted(live)) {
+  if (!this->CheckKeyAgain(live)) {
     return;
   }
   const RequestId id = action.request;
@@ -416,7 +418,7 @@
           (live.claimed && !live.may_have_run && live.attempts.empty())) &&
          "a non-idempotent request is sent only while it is claimed and "
          "certainly has not run");
-  if (!this->Permitted(live)) {
+  if (!this->CheckKeyAgain(live)) {
     this->Skip(action);
     return;
   }
@@ -424,7 +426,7 @@
       !this->FinishesInTime(live)) {
     this->RefuseUnstarted(action.request,
                           "can't be finished before the shutdown",
-                          ErrorAtEnd(live));
+                          ErrorAtProcessEnd(live));
     this->Skip(action);
     return;
   }
@@ -486,7 +488,7 @@
                                         AttemptId attempt) {
   return {
       .on_head =
-          [this, id, attempt](const HttpAnswerHead& head) {
+          [this, id, attempt](const HttpResponseHead& head) {
             if (LiveRequest* live = this->Find(id)) {
               live->incoming.relay->OnHead(attempt, head);
             }
@@ -546,7 +548,8 @@
 
 void RequestDriver::Refuse(const Dispatch& action) {
   LiveRequest& live = *this->Find(action.request);
-  const Error error = this->WithLookUp(action.error.value_or(Error{}), live);
+  const Error error =
+      this->WithStatusPath(action.error.value_or(Error{}), live);
   this->metrics.Add("hickorystand_refusals_total", 1,
                     {{"code", std::string(AnswerFor(error.kind).code)}});
   assert((!AnswerFor(error.kind).not_run || !live.may_have_run ||
@@ -558,7 +561,8 @@
 
 // Adds the path at which the caller can look up the outcome to an error that
 // reports the outcome as unknown.
-Error RequestDriver::WithLookUp(Error error, const LiveRequest& live) const {
+Error RequestDriver::WithStatusPath(Error error,
+                                    const LiveRequest& live) const {
   const ServiceId& id = live.incoming.request.service;
   const auto service = this->configuration->services.find(id);
   if (error.kind == ErrorKind::kOutcomeUnknown &&
@@ -754,14 +758,14 @@
                      .generated_tokens = generated});
 }
 
-void RequestDriver::OnCallerGone(const RequestId& id) {
+void RequestDriver::OnCallerDisconnected(const RequestId& id) {
   LiveRequest* live = this->Find(id);
   if (live == nullptr) {
     return;
   }
   live->caller_gone = true;
   this->metrics.Add("hickorystand_callers_gone_total", 1);
-  this->Apply(this->dispatcher->OnCallerGone(this->clock.Now(), id));
+  this->Apply(this->dispatcher->OnCallerDisconnected(this->clock.Now(), id));
   live = this->Find(id);
   if (live != nullptr &&
       (live->attempts.empty() || !IsOnce(live->incoming.request))) {
--- a/packages/gateway/request_driver.h
+++ b/packages/gateway/request_driver.h
@@ -65,15 +65,14 @@
   // task, either before it returns or later, unless the request is cancelled.
   // Without this hook no account is limited.
   std::function<void(const RequestId&,
-                     const LimitAsk&,
+                     const LimitRequest&,
                      std::function<void(const LimitDecision&)>)>
       take_tokens;
   // Cancels a pending take_tokens; its `done` may still be called.
   std::function<void(const RequestId&)> cancel_tokens;
   // Returns the tokens of a request that certainly has not run. The unit is
   // that of the limit from which they were taken.
-  std::function<void(const AccountId&, LimitUnit, int64_t cost)>
-      give_back_tokens;
+  std::function<void(const AccountId&, LimitUnit, int64_t cost)> return_tokens;
 };
 
 // An authenticated request to dispatch, with everything its attempts need.
@@ -94,10 +93,10 @@
 struct RequestDriverOptions {
   HostId host;
   EndpointClientOptions endpoints;
-  size_t remembered_decisions = 8192;
+  size_t decision_log_capacity = 8192;
   // Whether keys are checked again when a request starts. False only in the
   // mutation test: the queued requests of a revoked key then still run.
-  bool check_keys_again = true;
+  bool recheck_keys = true;
 };
 
 // Runs all requests of one host, from their arrival until they are answered.
@@ -124,13 +123,13 @@
   void OnLoad(const LoadReport& report);
   void OnCache(const CacheEvent& event);
   void OnDigest(const Digest& digest);
-  void OnHostGone(const HostId& host);
+  void OnHostLost(const HostId& host);
   void Tick();
 
   // Sets the time at which the process may end. From now on requests that are
   // not expected to be answered in full by then are refused, including queued
   // ones.
-  void SetEnd(Instant at) { this->ends_at = at; }
+  void SetProcessEnd(Instant at) { this->ends_at = at; }
 
   // Refuses new requests. `on_drained` is called when no request is left,
   // before this returns if there is none.
@@ -200,11 +199,11 @@
 
   void Skip(const Dispatch& action);
   LiveRequest* Find(const RequestId& id);
-  bool Permitted(LiveRequest& live);
+  bool CheckKeyAgain(LiveRequest& live);
   bool MayStart(const LiveRequest& live) const;
-  void AskForTokens(LiveRequest& live, const AccountLimit& limit);
+  void RequestTokens(LiveRequest& live, const AccountLimit& limit);
   void OnTokens(const RequestId& id,
-                const LimitAsk& ask,
+                const LimitRequest& ask,
                 LimitUnit unit,
                 const LimitDecision& decision);
   void Admit(const RequestId& id);
@@ -224,20 +223,20 @@
                const CompletionChunk& chunk);
   void OnBytes(const RequestId& id, AttemptId attempt, std::string_view bytes);
   void OnEnd(const RequestId& id, AttemptId attempt, const AttemptEnd& end);
-  void OnCallerGone(const RequestId& id);
+  void OnCallerDisconnected(const RequestId& id);
   void Bind(LiveRequest& live);
   void Throttle(LiveRequest& live, AttemptId attempt);
   void Bill(LiveRequest& live,
             const RunningAttempt& run,
             const AttemptEnd& end);
   void Abandon(LiveRequest& live, AttemptId attempt);
-  Error WithLookUp(Error error, const LiveRequest& live) const;
+  Error WithStatusPath(Error error, const LiveRequest& live) const;
   void DetachAttempts(const LiveRequest& live);
   void SettleClaim(const LiveRequest& live);
   void Forget(const RequestId& id);
   void CheckDrained();
   void EndNow(const RequestId& id);
-  static Error ErrorAtEnd(const LiveRequest& live);
+  static Error ErrorAtProcessEnd(const LiveRequest& live);
 
   // Whether a running attempt may have reached its endpoint.
   static bool AnyMayHaveSent(const LiveRequest& live);
--- a/packages/http/http1_parser.cc
+++ b/packages/http/http1_parser.cc
@@ -36,10 +36,13 @@
 };
 
 template <bool kRequest>
-class Http1Parser::EngineOf final : public Http1Parser::Engine,
-                                    private http::basic_parser<kRequest> {
+class Http1Parser::BeastMessageParser final
+    : public Http1Parser::Engine,
+      private http::basic_parser<kRequest> {
  public:
-  EngineOf(Http1Parser* owner, const Http1Limits& limits, bool no_body)
+  BeastMessageParser(Http1Parser* owner,
+                     const Http1Limits& limits,
+                     bool no_body)
       : owner(owner) {
     this->eager(true);
     this->header_limit(limits.head);
@@ -75,14 +78,14 @@
                      string_view value,
                      error_code& error) override {
     error = {};
-    if (!this->head_over) {  // trailers after the body are ignored
+    if (!this->head_complete) {  // trailers after the body are ignored
       this->head.headers.push_back(
           {.name = std::string(View(name)), .value = std::string(View(value))});
     }
   }
   void on_header_impl(error_code& error) override {
     error = {};
-    this->head_over = true;
+    this->head_complete = true;
     this->head.keep_alive = this->keep_alive();
     this->head.until_close = this->need_eof();
     if (const auto length = this->content_length()) {
@@ -114,7 +117,7 @@
 
   Http1Parser* owner;
   Http1Head head;
-  bool head_over = false;
+  bool head_complete = false;
 };
 
 Http1Parser::Http1Parser(Http1Side side, Http1Events events)
@@ -128,9 +131,11 @@
   this->done = false;
   this->failure = Http1Failure::kNone;
   if (this->side == Http1Side::kRequests) {
-    this->engine = std::make_unique<EngineOf<true>>(this, limits, no_body);
+    this->engine =
+        std::make_unique<BeastMessageParser<true>>(this, limits, no_body);
   } else {
-    this->engine = std::make_unique<EngineOf<false>>(this, limits, no_body);
+    this->engine =
+        std::make_unique<BeastMessageParser<false>>(this, limits, no_body);
   }
 }
 
--- a/packages/http/http1_parser.h
+++ b/packages/http/http1_parser.h
@@ -97,7 +97,7 @@
  private:
   class Engine;
   template <bool kRequest>
-  class EngineOf;
+  class BeastMessageParser;
 
   Http1Side side;
   Http1Events events;
--- a/packages/http/http_client.cc
+++ b/packages/http/http_client.cc
@@ -13,7 +13,7 @@
 
 constexpr gsize kReadBytes = gsize{16} << 10;
 
-std::string UriOf(const HttpOutgoing& outgoing) {
+std::string UriOf(const HttpClientRequest& outgoing) {
   const bool v6 = outgoing.address.host.find(':') != std::string::npos;
   const std::string host =
       v6 ? "[" + outgoing.address.host + "]" : outgoing.address.host;
@@ -72,7 +72,7 @@
 // -- HttpExchange ------------------------------------------------------------
 
 HttpExchange::HttpExchange(HttpPoolPtr pool,
-                           HttpOutgoing outgoing,
+                           HttpClientRequest outgoing,
                            HttpEvents events,
                            HttpTimeouts timeouts)
     : pool(std::move(pool)),
@@ -93,8 +93,8 @@
 // when a reused connection turns out to be closed, although the peer may have
 // read it already. Such a request is therefore sent on a new connection, on
 // which libsoup never resends.
-void HttpExchange::Start(std::function<void()> on_silent) {
-  this->on_silent = std::move(on_silent);
+void HttpExchange::Start(std::function<void()> on_stalled) {
+  this->on_stalled = std::move(on_stalled);
   if (!this->message) {
     const auto self = this->shared_from_this();
     this->timer = Timer::After(Duration::zero(), [self] {
@@ -107,21 +107,22 @@
   this->outgoing.body = {};
   this->Progress(this->timeouts.connect);
   this->ArmTimer(this->timeouts.connect);
-  this->Launch();
+  this->SubmitMessage();
 }
 
-void HttpExchange::Launch() {
+void HttpExchange::SubmitMessage() {
   SoupMessage* raw = this->message.get();
   // For methods that libsoup resends by itself, it repeats the Content-Length
   // but not the body, and the peer waits for a body that never arrives.
   const bool resend_loses_body =
       g_bytes_get_size(this->body.get()) > 0 && this->outgoing.method != "POST";
-  const bool new_connection =
-      this->outgoing.once || this->relaunched || resend_loses_body;
-  soup_message_add_flags(raw, static_cast<SoupMessageFlags>(
-                                  SOUP_MESSAGE_NO_REDIRECT |
-                                  (new_connection ? SOUP_MESSAGE_NEW_CONNECTION
-                                                  : SOUP_MESSAGE_IDEMPOTENT)));
+  const bool new_connection_cost_share =
+      this->outgoing.once || this->has_retried || resend_loses_body;
+  soup_message_add_flags(
+      raw, static_cast<SoupMessageFlags>(SOUP_MESSAGE_NO_REDIRECT |
+                                         (new_connection_cost_share
+                                              ? SOUP_MESSAGE_NEW_CONNECTION
+                                              : SOUP_MESSAGE_IDEMPOTENT)));
   AppendHeaders(soup_message_get_request_headers(raw), this->outgoing.headers);
   if (g_bytes_get_size(this->body.get()) > 0) {
     const std::string& type = this->outgoing.content_type;
@@ -133,7 +134,7 @@
       G_CALLBACK(+[](SoupMessage*, GSocketClientEvent event,
                      GIOStream* connection, gpointer self) {
         if (event == G_SOCKET_CLIENT_CONNECTED) {
-          static_cast<HttpExchange*>(self)->NoteConnection(connection);
+          static_cast<HttpExchange*>(self)->RecordConnection(connection);
         }
       }),
       this);
@@ -156,21 +157,21 @@
 // retry, an endpoint that was only restarted would look as if this request had
 // crashed it. libsoup retries only methods that HTTP defines as idempotent,
 // which excludes POST.
-bool HttpExchange::Relaunch() {
-  if (this->outgoing.once || this->relaunched || this->own_connection ||
-      this->forbidden || !this->sending) {
+bool HttpExchange::RetryOnNewConnection() {
+  if (this->outgoing.once || this->has_retried || this->own_connection ||
+      this->send_denied || !this->sending) {
     return false;
   }
-  this->relaunched = true;
+  this->has_retried = true;
   g_signal_handlers_disconnect_by_data(this->message.get(), this);
   this->message.reset(soup_message_new(this->outgoing.method.c_str(),
                                        UriOf(this->outgoing).c_str()));
   this->Progress(this->timeouts.first_byte);
-  this->Launch();
+  this->SubmitMessage();
   return true;
 }
 
-void HttpExchange::NoteConnection(GIOStream* connection) {
+void HttpExchange::RecordConnection(GIOStream* connection) {
   if (G_IS_SOCKET_CONNECTION(connection)) {
     this->own_connection = true;
     this->new_socket = ShareObject(
@@ -185,7 +186,7 @@
 // buffer. After an orderly close the kernel would still deliver them, possibly
 // seconds later when a network partition heals, and an order could arrive after
 // its sender's lease has passed to another host.
-void HttpExchange::DropUnsent() {
+void HttpExchange::ResetOnClose() {
   if (!this->once_socket || g_socket_is_closed(this->once_socket.get())) {
     return;
   }
@@ -204,7 +205,7 @@
     return;
   }
   if (this->outgoing.may_send && !this->outgoing.may_send()) {
-    this->forbidden = true;
+    this->send_denied = true;
     g_cancellable_cancel(this->cancellable.get());
     return;
   }
@@ -229,13 +230,13 @@
     return;
   }
   if (error != nullptr) {
-    if (!this->Relaunch()) {
+    if (!this->RetryOnNewConnection()) {
       this->EndByError(*error);
     }
     return;
   }
   this->Progress(this->timeouts.between_bytes);
-  HttpAnswerHead head;
+  HttpResponseHead head;
   head.status = static_cast<int>(soup_message_get_status(this->message.get()));
   head.headers =
       CopyHeaders(soup_message_get_response_headers(this->message.get()));
@@ -300,7 +301,7 @@
   switch (soup_message_headers_get_encoding(
       soup_message_get_response_headers(this->message.get()))) {
     case SOUP_ENCODING_EOF:
-      return HttpEnd::kNoMarker;
+      return HttpEnd::kNoEndMarker;
     case SOUP_ENCODING_CHUNKED:
       return this->pool->connections.ClosedByPeer(
                  soup_message_get_connection_id(this->message.get()))
@@ -312,7 +313,7 @@
 }
 
 void HttpExchange::EndByError(const GError& error) {
-  if (this->forbidden) {
+  if (this->send_denied) {
     this->End(HttpEnd::kNotSent, "not permitted when it was to be sent");
   } else if (!this->sending) {
     this->End(HttpEnd::kNotSent, error.message);
@@ -343,7 +344,7 @@
 
 void HttpExchange::Cancel() {
   this->events = {};
-  this->DropUnsent();
+  this->ResetOnClose();
   this->End(HttpEnd::kCancelled, "");
 }
 
@@ -383,7 +384,7 @@
     return;
   }
   if (this->sending) {
-    this->on_silent();
+    this->on_stalled();
   }
   this->End(this->sending ? HttpEnd::kSilent : HttpEnd::kNotSent,
             "no progress in time");
@@ -393,7 +394,8 @@
 
 HttpClient::HttpClient(HttpClientOptions options) : options(options) {}
 
-HttpExchangePtr HttpClient::Send(HttpOutgoing outgoing, HttpEvents events) {
+HttpExchangePtr HttpClient::Send(HttpClientRequest outgoing,
+                                 HttpEvents events) {
   const SocketAddress address = outgoing.address;
   const HttpTimeouts timeouts =
       outgoing.timeouts.value_or(this->options.timeouts);
--- a/packages/http/http_client.h
+++ b/packages/http/http_client.h
@@ -47,7 +47,7 @@
 };
 
 // One request to send.
-struct HttpOutgoing {
+struct HttpClientRequest {
   SocketAddress address;
   std::string method = "GET";
   std::string target = "/";  // path and query, percent-encoded
@@ -65,24 +65,24 @@
 
 // How an exchange ended.
 enum class HttpEnd {
-  kWhole,      // complete: declared length reached, or last chunk received
-  kNoMarker,   // closed in order; the body may be truncated
-  kNotSent,    // no byte was sent
-  kReset,      // the connection was lost after bytes were sent
-  kSilent,     // timed out without progress after bytes were sent
-  kProtocol,   // the response is not valid HTTP, or exceeds a limit
-  kCancelled,  // by this process, after bytes were sent
+  kWhole,        // complete: declared length reached, or last chunk received
+  kNoEndMarker,  // closed in order; the body may be truncated
+  kNotSent,      // no byte was sent
+  kReset,        // the connection was lost after bytes were sent
+  kSilent,       // timed out without progress after bytes were sent
+  kProtocol,     // the response is not valid HTTP, or exceeds a limit
+  kCancelled,    // by this process, after bytes were sent
 };
 
 // The status and headers of a response.
-struct HttpAnswerHead {
+struct HttpResponseHead {
   int status = 0;
   HttpHeaders headers;
 };
 
 // Callbacks of an exchange, called in this order on the client's task.
 struct HttpEvents {
-  std::function<void(const HttpAnswerHead&)> on_head;
+  std::function<void(const HttpResponseHead&)> on_head;
   std::function<void(std::string_view)> on_bytes;
   std::function<void(HttpEnd, const std::string& detail)> on_end;  // last, once
 };
@@ -119,7 +119,7 @@
 class HttpExchange : public std::enable_shared_from_this<HttpExchange> {
  public:
   HttpExchange(HttpPoolPtr pool,
-               HttpOutgoing outgoing,
+               HttpClientRequest outgoing,
                HttpEvents events,
                HttpTimeouts timeouts);
   ~HttpExchange();
@@ -141,12 +141,12 @@
  private:
   friend class HttpClient;
 
-  void Start(std::function<void()> on_silent);
-  void Launch();
-  bool Relaunch();
+  void Start(std::function<void()> on_stalled);
+  void SubmitMessage();
+  bool RetryOnNewConnection();
   void CheckPermission();
-  void NoteConnection(GIOStream* connection);
-  void DropUnsent();
+  void RecordConnection(GIOStream* connection);
+  void ResetOnClose();
   HttpEnd JudgeEnd() const;
   void TakeHead(GAsyncResult* result);
   void TakeBytes(GAsyncResult* result);
@@ -158,7 +158,7 @@
   void CheckProgress();
 
   HttpPoolPtr pool;
-  HttpOutgoing outgoing;
+  HttpClientRequest outgoing;
   HttpEvents events;
   HttpTimeouts timeouts;
   BytesPtr body;
@@ -167,14 +167,14 @@
   ObjectPtr<GInputStream> stream;
   ObjectPtr<GSocket> new_socket;   // of a connection opened for this exchange
   ObjectPtr<GSocket> once_socket;  // the same, for a non-idempotent request
-  std::function<void()> on_silent;
+  std::function<void()> on_stalled;
   std::unique_ptr<Timer> timer;
   gint64 last_progress = 0;  // g_get_monotonic_time()
   Duration limit{};
   bool sending = false;
   bool own_connection = false;  // not a reused connection
-  bool relaunched = false;
-  bool forbidden = false;
+  bool has_retried = false;
+  bool send_denied = false;
   bool paused = false;
   bool reading = false;
   bool over = false;
@@ -198,7 +198,7 @@
   HttpClient& operator=(const HttpClient&) = delete;
 
   // Sends a request. Callbacks run on this task, never from within Send().
-  HttpExchangePtr Send(HttpOutgoing outgoing, HttpEvents events);
+  HttpExchangePtr Send(HttpClientRequest outgoing, HttpEvents events);
 
   // Replaces the pool of an address, so that later requests open new
   // connections. Exchanges in progress continue on their connections; idle
--- a/packages/http/http_server.cc
+++ b/packages/http/http_server.cc
@@ -55,7 +55,7 @@
 
 HttpCall::~HttpCall() {
   this->StopWatching();
-  this->server->bodies_held -= std::ssize(this->request.body);
+  this->server->held_body_bytes -= std::ssize(this->request.body);
 }
 
 void HttpCall::ReadHead() {
@@ -71,11 +71,11 @@
   this->request.query = OrEmpty(g_uri_get_query(uri));
   this->request.headers =
       CopyHeaders(soup_server_message_get_request_headers(raw));
-  this->refusal = this->HeadFault();
+  this->refusal = this->CheckHeadLimits();
 }
 
 // Returns an error if the head exceeds a limit.
-std::optional<Error> HttpCall::HeadFault() const {
+std::optional<Error> HttpCall::CheckHeadLimits() const {
   const HttpHeaders& headers = this->request.headers;
   if (std::ssize(headers) > this->options.max_headers) {
     return Error{ErrorKind::kTooLarge, "Too many headers."};
@@ -107,18 +107,18 @@
   }
   if (this->received > this->options.max_body_bytes) {
     this->RefuseBody(ErrorKind::kTooLarge, "The body is too long.");
-  } else if (this->server->bodies_held + static_cast<int64_t>(size) >
+  } else if (this->server->held_body_bytes + static_cast<int64_t>(size) >
              this->options.max_total_body_bytes) {
     this->RefuseBody(ErrorKind::kOverloaded, "Too many bodies are held.");
   }
   if (!this->refusal) {
     this->request.body.append(data, size);
-    this->server->bodies_held += static_cast<int64_t>(size);
+    this->server->held_body_bytes += static_cast<int64_t>(size);
   }
 }
 
 void HttpCall::RefuseBody(ErrorKind kind, std::string message) {
-  this->server->bodies_held -= std::ssize(this->request.body);
+  this->server->held_body_bytes -= std::ssize(this->request.body);
   this->request.body = {};
   if (!this->refusal) {
     this->refusal = Error{kind, std::move(message), std::chrono::seconds(1)};
@@ -326,10 +326,10 @@
 
 HttpServer::HttpServer(HttpServerOptions options,
                        Handler handler,
-                       Refuser refuser)
+                       RefusalHandler refusal_handler)
     : options(std::move(options)),
       handler(std::move(handler)),
-      refuser(std::move(refuser)),
+      refusal_handler(std::move(refusal_handler)),
       server(soup_server_new(nullptr, nullptr)) {
   SoupServer* raw = this->server.get();
   g_signal_connect(raw, "request-started", G_CALLBACK(&HttpServer::OnStarted),
@@ -508,8 +508,8 @@
 
 void HttpServer::Refuse(const HttpCallPtr& call) {
   const Error error = call->refusal.value_or(Error{});
-  if (this->refuser) {
-    this->refuser(call, error);
+  if (this->refusal_handler) {
+    this->refusal_handler(call, error);
   }
   if (!call->started) {
     call->Answer(AnswerFor(error.kind).status, {}, error.message);
--- a/packages/http/http_server.h
+++ b/packages/http/http_server.h
@@ -57,8 +57,8 @@
 
 // State shared by a server and all its calls.
 struct HttpServerState {
-  int64_t bodies_held = 0;  // bytes of request bodies in memory
-  bool closing = false;     // each response closes its connection
+  int64_t held_body_bytes = 0;  // bytes of request bodies in memory
+  bool closing = false;         // each response closes its connection
 };
 
 // A complete request.
@@ -117,7 +117,7 @@
   friend class HttpServer;
 
   void ReadHead();
-  std::optional<Error> HeadFault() const;
+  std::optional<Error> CheckHeadLimits() const;
   void TakeChunk(GBytes* chunk);
   void RefuseBody(ErrorKind kind, std::string message);
   void Hold();
@@ -159,9 +159,11 @@
  public:
   using Handler = std::function<void(const HttpCallPtr&)>;
   // Answers a request that exceeded a limit; the error names the limit.
-  using Refuser = std::function<void(const HttpCallPtr&, const Error&)>;
+  using RefusalHandler = std::function<void(const HttpCallPtr&, const Error&)>;
 
-  HttpServer(HttpServerOptions options, Handler handler, Refuser refuser = {});
+  HttpServer(HttpServerOptions options,
+             Handler handler,
+             RefusalHandler refusal_handler = {});
   ~HttpServer();
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
@@ -203,7 +205,7 @@
 
   HttpServerOptions options;
   Handler handler;
-  Refuser refuser;
+  RefusalHandler refusal_handler;
   ObjectPtr<SoupServer> server;
   std::map<SoupServerMessage*, HttpCallPtr> calls;
   std::shared_ptr<HttpServerState> state = std::make_shared<HttpServerState>();
--- a/packages/http/http_types.cc
+++ b/packages/http/http_types.cc
@@ -37,13 +37,13 @@
 
 bool Forwardable(const HttpHeader& header) {
   return std::ranges::none_of(kNotForwarded, [&](std::string_view name) {
-    return SameHeaderName(name, header.name);
+    return HeaderNamesEqual(name, header.name);
   });
 }
 
 }  // namespace
 
-bool SameHeaderName(std::string_view left, std::string_view right) {
+bool HeaderNamesEqual(std::string_view left, std::string_view right) {
   return std::ranges::equal(left, right, {}, &g_ascii_tolower,
                             &g_ascii_tolower);
 }
@@ -52,7 +52,7 @@
                                       std::string_view name) {
   const auto found =
       std::ranges::find_if(headers, [&](const HttpHeader& header) {
-        return SameHeaderName(header.name, name);
+        return HeaderNamesEqual(header.name, name);
       });
   return found == headers.end() ? std::nullopt : std::optional(found->value);
 }
--- a/packages/http/http_types.h
+++ b/packages/http/http_types.h
@@ -22,7 +22,7 @@
 using HttpHeaders = std::vector<HttpHeader>;
 
 // Compares two header names, ignoring case.
-bool SameHeaderName(std::string_view left, std::string_view right);
+bool HeaderNamesEqual(std::string_view left, std::string_view right);
 
 // Returns the value of the first header with that name, ignoring case.
 std::optional<std::string> FindHeader(const HttpHeaders& headers,
--- a/packages/http/stream_socket.cc
+++ b/packages/http/stream_socket.cc
@@ -35,7 +35,7 @@
   return socket;
 }
 
-void SetDelivery(GSocket* socket, Duration ack_timeout) {
+void SetTcpOptions(GSocket* socket, Duration ack_timeout) {
   const auto milliseconds =
       std::chrono::duration_cast<std::chrono::milliseconds>(ack_timeout)
           .count();
@@ -50,7 +50,7 @@
 
 }  // namespace
 
-void StreamSocket::SourceDrop::operator()(GSource* source) const {
+void StreamSocket::SourceDeleter::operator()(GSource* source) const {
   g_source_destroy(source);
   g_source_unref(source);
 }
@@ -70,7 +70,7 @@
   const auto to = MakeAddress(address);
   GError* raw = nullptr;
   if (made->socket && to) {
-    SetDelivery(made->socket.get(), ack_timeout);
+    SetTcpOptions(made->socket.get(), ack_timeout);
     if (g_socket_connect(made->socket.get(), to.get(), nullptr, &raw) ||
         g_error_matches(raw, G_IO_ERROR, G_IO_ERROR_PENDING)) {
       g_clear_error(&raw);
@@ -92,7 +92,7 @@
                                     Duration ack_timeout,
                                     StreamEvents events) {
   g_socket_set_blocking(socket.get(), FALSE);
-  SetDelivery(socket.get(), ack_timeout);
+  SetTcpOptions(socket.get(), ack_timeout);
   StreamSocketPtr made(new StreamSocket(std::move(socket), std::move(events)));
   made->WatchInput();
   return made;
@@ -178,7 +178,7 @@
 }
 
 void StreamSocket::Write(std::string_view bytes) {
-  if (this->state == State::kOver || this->state == State::kClosing) {
+  if (this->state == State::kDisconnected || this->state == State::kClosing) {
     return;
   }
   this->unsent += bytes;
@@ -202,7 +202,7 @@
         this->unsent.clear();
         this->output.reset();
         this->WatchInput();
-        this->LimitClose();
+        this->StartCloseTimer();
       }
       return;
     }
@@ -212,7 +212,7 @@
   this->output.reset();
   if (this->state == State::kClosing) {
     g_socket_shutdown(this->socket.get(), FALSE, TRUE, nullptr);
-    this->LimitClose();
+    this->StartCloseTimer();
   } else if (const auto call = this->events.on_drained) {
     call();
   }
@@ -242,7 +242,7 @@
   }
 }
 
-void StreamSocket::LimitClose() {
+void StreamSocket::StartCloseTimer() {
   if (this->state == State::kClosing) {
     this->closing =
         Timer::After(kCloseLimit, [this] { this->End(StreamEnd::kClosed); });
@@ -250,7 +250,7 @@
 }
 
 void StreamSocket::Close() {
-  this->state = State::kOver;
+  this->state = State::kDisconnected;
   this->input.reset();
   this->output.reset();
   this->failure.reset();
@@ -260,7 +260,7 @@
 }
 
 void StreamSocket::Reset() {
-  if (this->socket && this->state != State::kOver) {
+  if (this->socket && this->state != State::kDisconnected) {
     const linger reset_on_close{.l_onoff = 1, .l_linger = 0};
     setsockopt(g_socket_get_fd(this->socket.get()), SOL_SOCKET, SO_LINGER,
                &reset_on_close, sizeof reset_on_close);
--- a/packages/http/stream_socket.h
+++ b/packages/http/stream_socket.h
@@ -95,11 +95,11 @@
   bool Open() const { return this->state == State::kOpen; }
 
  private:
-  enum class State { kConnecting, kOpen, kClosing, kOver };
-  struct SourceDrop {
+  enum class State { kConnecting, kOpen, kClosing, kDisconnected };
+  struct SourceDeleter {
     void operator()(GSource* source) const;
   };
-  using SourcePtr = std::unique_ptr<GSource, SourceDrop>;
+  using SourcePtr = std::unique_ptr<GSource, SourceDeleter>;
 
   StreamSocket(ObjectPtr<GSocket> socket, StreamEvents events);
   static gboolean OnReady(GSocket* socket,
@@ -112,7 +112,7 @@
   void FinishConnect();
   void ReadSome();
   void Flush();
-  void LimitClose();
+  void StartCloseTimer();
   void End(StreamEnd end);
 
   ObjectPtr<GSocket> socket;
--- a/packages/limits/limit_gate.cc
+++ b/packages/limits/limit_gate.cc
@@ -90,7 +90,7 @@
              {"revision", std::to_string(this->shares.Revision())},
              {"holders", HoldersText(this->shares.Holders())}});
   }
-  this->TellRevision();
+  this->SendRevision();
 }
 
 void LimitGate::CallStore() {
@@ -121,7 +121,7 @@
 
 // Acknowledges the newest record read to the linked hosts; a joining host gets
 // its share only when all other holders have done so.
-void LimitGate::TellRevision() {
+void LimitGate::SendRevision() {
   const int64_t revision = this->shares.Revision();
   const std::vector<HostId> linked = this->handlers.linked();
   std::erase_if(this->told, [&linked](const auto& entry) {
@@ -139,7 +139,7 @@
   }
 }
 
-std::optional<LimitVerdict> LimitGate::Take(LimitAsk& request,
+std::optional<LimitVerdict> LimitGate::Take(LimitRequest& request,
                                             Later on_verdict) {
   request.number = ++this->last_number;
   const auto verdict = this->limiter.Take(this->clock->Now(), request);
@@ -147,7 +147,7 @@
     this->waiting[request.number] = {.ask = request,
                                      .later = std::move(on_verdict)};
   } else if (verdict->granted) {
-    this->CountUse(request.account, request.cost);
+    this->RecordUsage(request.account, request.cost);
   }
   this->Flush();
   return verdict;
@@ -161,7 +161,7 @@
 
 void LimitGate::GiveBack(const AccountId& account, int64_t cost) {
   this->limiter.GiveBack(this->clock->Now(), account, cost);
-  this->CountUse(account, -cost);
+  this->RecordUsage(account, -cost);
   this->Flush();
 }
 
@@ -174,16 +174,16 @@
   }
 }
 
-void LimitGate::CountUse(const AccountId& account, int64_t cost) {
+void LimitGate::RecordUsage(const AccountId& account, int64_t cost) {
   if (this->limits.contains(account)) {
     this->used.try_emplace(account, this->Window())
         .first->second.Add(this->clock->Now(), cost);
   }
 }
 
-std::vector<LimitUse> LimitGate::Uses() const {
+std::vector<LimitUsage> LimitGate::Uses() const {
   const Instant now = this->clock->Now();
-  std::vector<LimitUse> usages;
+  std::vector<LimitUsage> usages;
   for (const auto& [account, limit] : this->limits) {
     const auto used = this->used.find(account);
     usages.push_back(
@@ -236,17 +236,17 @@
       }
       const Waiting& waiter = found.mapped();
       if (verdict.granted) {
-        this->CountUse(waiter.ask.account, waiter.ask.cost);
+        this->RecordUsage(waiter.ask.account, waiter.ask.cost);
       }
       waiter.later(verdict);
     }
     effects = this->limiter.TakeEffects();
   }
   if (this->waiting.empty()) {
-    this->hasty_timer.reset();
-  } else if (!this->hasty_timer) {
-    this->hasty_timer =
-        Timer::Every(this->options.hasty_tick, [this] { this->Tick(); });
+    this->busy_timer.reset();
+  } else if (!this->busy_timer) {
+    this->busy_timer =
+        Timer::Every(this->options.busy_tick, [this] { this->Tick(); });
   }
 }
 
