--- a/packages/limits/limit_gate.h
+++ b/packages/limits/limit_gate.h
@@ -39,7 +39,7 @@
   LimitSharesOptions shares;
   LimitOptions limits;
   // Timer interval while requests wait, and while none do.
-  Duration hasty_tick = std::chrono::milliseconds(20);
+  Duration busy_tick = std::chrono::milliseconds(20);
   Duration tick = std::chrono::milliseconds(100);
 };
 
@@ -55,13 +55,13 @@
 };
 
 // An account's recent usage at this host, and the tokens left here.
-struct LimitUse {
+struct LimitUsage {
   AccountId account;
   AccountLimit limit;
   int64_t used = 0;  // units within LimitOptions::window
   int64_t left = 0;  // units; negative if in debt
 
-  auto operator<=>(const LimitUse&) const = default;
+  auto operator<=>(const LimitUsage&) const = default;
 };
 
 // Admits requests under the accounts' limits and keeps this host's share of the
@@ -92,7 +92,7 @@
   // Takes a request's tokens and sets the request's number. Returns nothing if
   // the request has to wait; `on_verdict` is then called with the decision,
   // unless the wait is cancelled.
-  std::optional<LimitVerdict> Take(LimitAsk& request, Later on_verdict);
+  std::optional<LimitVerdict> Take(LimitRequest& request, Later on_verdict);
   void Cancel(int64_t number);
 
   // Returns the tokens of a request that certainly did not run.
@@ -113,7 +113,7 @@
   }
 
   // The usage of each account that has a limit.
-  std::vector<LimitUse> Uses() const;
+  std::vector<LimitUsage> Uses() const;
   Duration Window() const { return this->options.limits.window; }
 
   // Sets the gauges of this host's share and tokens.
@@ -121,16 +121,16 @@
 
  private:
   struct Waiting {
-    LimitAsk ask;
+    LimitRequest ask;
     Later later;
   };
 
   void Tick();
   void CallStore();
   void OnStoreReply(Instant requested_at, const StoreReply& reply);
-  void TellRevision();
+  void SendRevision();
   void Flush();
-  void CountUse(const AccountId& account, int64_t cost);
+  void RecordUsage(const AccountId& account, int64_t cost);
 
   LimitGateOptions options;
   const Clock* clock;
@@ -149,7 +149,7 @@
   std::map<int64_t, Waiting> waiting;  // by number of the request
   std::map<HostId, int64_t> told;      // last revision sent to a linked host
   std::unique_ptr<Timer> timer;
-  std::unique_ptr<Timer> hasty_timer;
+  std::unique_ptr<Timer> busy_timer;
   std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 };
 
--- a/packages/peers/frame.cc
+++ b/packages/peers/frame.cc
@@ -38,7 +38,7 @@
 
 // Constant-time comparison. If the time depended on the position of the first
 // difference, a sender without the secret could find a tag byte by byte.
-bool SameBytes(std::string_view a, std::string_view b) {
+bool ConstantTimeEquals(std::string_view a, std::string_view b) {
   if (a.size() != b.size()) {
     return false;
   }
@@ -59,7 +59,7 @@
 std::string SealFrame(std::string_view key,
                       std::string_view context,
                       std::string_view payload) {
-  assert(payload.size() <= kMaxFrame - kTagBytes &&
+  assert(payload.size() <= kMaxFrameBytes - kTagBytes &&
          "payload exceeds the frame limit");
   std::string frame;
   frame.reserve(kLengthBytes + kTagBytes + payload.size());
@@ -78,8 +78,8 @@
   }
   const auto payload = body.substr(kTagBytes);
   const std::string expected = Tag(key, context, payload);
-  if (!SameBytes(body.substr(0, kTagBytes),
-                 std::string_view(expected).substr(0, kTagBytes))) {
+  if (!ConstantTimeEquals(body.substr(0, kTagBytes),
+                          std::string_view(expected).substr(0, kTagBytes))) {
     return Fail(ErrorKind::kUnauthenticated,
                 "authentication tag does not match");
   }
--- a/packages/peers/frame.h
+++ b/packages/peers/frame.h
@@ -41,8 +41,8 @@
 // Largest frame body in bytes: until the sender is authenticated, and
 // afterwards. The latter is large enough for one value of the key-value
 // service.
-inline constexpr size_t kMaxHelloFrame = 1024;
-inline constexpr size_t kMaxFrame = 1536UL * 1024;
+inline constexpr size_t kMaxHelloFrameBytes = 1024;
+inline constexpr size_t kMaxFrameBytes = 1536UL * 1024;
 
 // Returns the untruncated HMAC-SHA256 of `bytes`.
 std::string Authenticate(std::string_view key, std::string_view bytes);
@@ -85,7 +85,7 @@
   Result<std::string> Next();
 
   // Bytes that were fed but not yet returned by Next().
-  size_t Buffered() const { return this->buffer.size() - this->taken; }
+  size_t BufferedBytes() const { return this->buffer.size() - this->taken; }
 
  private:
   size_t limit;
--- a/packages/peers/peer_group.cc
+++ b/packages/peers/peer_group.cc
@@ -9,7 +9,7 @@
 
 // Prefixed to a representative's id, identifies the digest of all other data
 // centres that this representative sends.
-constexpr const char* kElsewherePrefix = "elsewhere/";
+constexpr const char* kOtherDataCentresPrefix = "elsewhere/";
 
 MembershipOptions MakeMembershipOptions(const PeerGroupOptions& options) {
   const SessionOptions& session = options.links.session;
@@ -39,11 +39,11 @@
               [this](const HostId& host, const PeerMessage& message) {
                 this->OnMessage(host, message);
               },
-          .on_heard =
+          .on_activity =
               [this](const PeerHello& peer) {
-                this->membership.OnHeard(this->Now(), peer.host,
-                                         peer.data_centre, peer.incarnation,
-                                         false);
+                this->membership.OnHostMessage(this->Now(), peer.host,
+                                               peer.data_centre,
+                                               peer.incarnation, false);
               },
           .on_up = {},
           .on_down = [this](const HostId& host) { this->OnDown(host); }};
@@ -64,9 +64,9 @@
 }
 
 void PeerGroup::OnDigest(DigestScope scope, const Digest& digest) {
-  const Heard heard =
-      this->membership.OnHeard(this->Now(), digest.host, digest.data_centre,
-                               digest.incarnation, digest.leaving);
+  const Heard heard = this->membership.OnHostMessage(
+      this->Now(), digest.host, digest.data_centre, digest.incarnation,
+      digest.leaving);
   if (heard != Heard::kCurrent) {
     return;
   }
@@ -75,9 +75,9 @@
   // representative's own digest reports as down.
   this->board.OnNews(scope == DigestScope::kHost
                          ? digest.host
-                         : HostId(kElsewherePrefix + digest.host.Text()),
+                         : HostId(kOtherDataCentresPrefix + digest.host.Text()),
                      digest.endpoints);
-  if (scope != DigestScope::kElsewhere && this->handlers.on_revision) {
+  if (scope != DigestScope::kOtherDataCentres && this->handlers.on_revision) {
     this->handlers.on_revision(digest.host, digest.configuration_revision);
   }
   switch (scope) {
@@ -91,8 +91,8 @@
     case DigestScope::kDataCentre:
       this->far.OnDigest(digest);
       break;
-    case DigestScope::kElsewhere:
-      this->OnElsewhere(digest, digest.host);
+    case DigestScope::kOtherDataCentres:
+      this->OnOtherDataCentres(digest, digest.host);
       break;
   }
   if (this->board.Leaving() != this->leaving) {
@@ -103,8 +103,8 @@
 // Delivers the digest of all other data centres. For a while two
 // representatives may both act as the first one. Using both digests would count
 // all remote work twice, so only the last one received is used.
-void PeerGroup::OnElsewhere(Digest digest, const HostId& from) {
-  const HostId id(kElsewherePrefix + from.Text());
+void PeerGroup::OnOtherDataCentres(Digest digest, const HostId& from) {
+  const HostId id(kOtherDataCentresPrefix + from.Text());
   if (id != this->elsewhere && !this->elsewhere.Empty() &&
       this->handlers.on_gone) {
     this->handlers.on_gone(this->elsewhere);
@@ -124,11 +124,11 @@
   this->membership.OnLinkDown(this->Now(), host);
   this->near.OnGone(host);
   this->far.OnGone(host);
-  this->board.OnHostGone(host);
+  this->board.OnHostLost(host);
   this->digests.erase(host);
   if (this->handlers.on_gone) {
     this->handlers.on_gone(host);
-    if (this->elsewhere.Text() == kElsewherePrefix + host.Text()) {
+    if (this->elsewhere.Text() == kOtherDataCentresPrefix + host.Text()) {
       this->handlers.on_gone(std::exchange(this->elsewhere, HostId()));
     }
   }
@@ -159,7 +159,7 @@
   this->board.OnNews(session.host, digest.endpoints);
   this->links.SendDigest(DigestScope::kHost, digest);
   // The summary of this data centre includes this host like any other.
-  digest.sequence = ++this->elsewhere_sequence;
+  digest.sequence = ++this->summary_sequence;
   this->near.OnDigest(digest);
   if (this->Now() >= this->next_summary) {
     this->SendSummaries(false);
@@ -175,7 +175,7 @@
 
 // Keeps only the outstanding work at endpoints of this data centre (`here`), or
 // only that at endpoints of the others. Unknown endpoints stay in both cases.
-void PeerGroup::KeepOutstanding(Digest& digest, bool here) const {
+void PeerGroup::FilterOutstanding(Digest& digest, bool here) const {
   std::erase_if(digest.outstanding, [&](const EndpointOutstanding& entry) {
     const auto found = this->endpoints.find(entry.endpoint);
     return found != this->endpoints.end() &&
@@ -195,7 +195,7 @@
   // the host that first reported it is harmless.
   Digest own =
       this->near.Make(session.host, session.data_centre, session.incarnation);
-  this->KeepOutstanding(own, false);
+  this->FilterOutstanding(own, false);
   own.endpoints = this->leaving;
   this->links.SendDigest(DigestScope::kDataCentre, own);
   const bool pass_on = this->summaries++ % 2 == 0 || urgent;
@@ -204,11 +204,11 @@
   }
   Digest distant =
       this->far.Make(session.host, session.data_centre, session.incarnation);
-  this->KeepOutstanding(distant, true);
+  this->FilterOutstanding(distant, true);
   distant.endpoints = this->leaving;
-  this->links.SendDigest(DigestScope::kElsewhere, distant);
-  distant.sequence = ++this->elsewhere_sequence;
-  this->OnElsewhere(std::move(distant), session.host);
+  this->links.SendDigest(DigestScope::kOtherDataCentres, distant);
+  distant.sequence = ++this->summary_sequence;
+  this->OnOtherDataCentres(std::move(distant), session.host);
 }
 
 }  // namespace hickorystand
--- a/packages/peers/peer_group.h
+++ b/packages/peers/peer_group.h
@@ -26,7 +26,7 @@
 #include <vector>
 
 #include "decisions/digest_summary.h"
-#include "decisions/endpoint_board.h"
+#include "decisions/endpoint_status_table.h"
 #include "decisions/membership.h"
 #include "peers/peer_links.h"
 
@@ -139,23 +139,23 @@
   Instant Now() const { return this->options.links.clock->Now(); }
   PeerHandlers LinkHandlers();
   void OnDigest(DigestScope scope, const Digest& digest);
-  void OnElsewhere(Digest digest, const HostId& from);
+  void OnOtherDataCentres(Digest digest, const HostId& from);
   void OnDown(const HostId& host);
   void OnMessage(const HostId& host, const PeerMessage& message);
-  void KeepOutstanding(Digest& digest, bool here) const;
+  void FilterOutstanding(Digest& digest, bool here) const;
   void SendSummaries(bool urgent);
   void Refresh();
 
   PeerGroupOptions options;
   PeerGroupHandlers handlers;
   Membership membership;
-  EndpointBoard board;
+  EndpointStatusTable board;
   std::map<EndpointId, DataCentreId> endpoints;
   DigestSummary near;  // the hosts of this data centre
   DigestSummary far;   // the other data centres
   std::map<HostId, Digest> digests;
   HostId elsewhere;  // id of the current digest of all other data centres
-  uint64_t elsewhere_sequence = 0;
+  uint64_t summary_sequence = 0;
   Instant next_summary{};
   uint64_t summaries = 0;             // number sent
   std::vector<EndpointNews> leaving;  // leaving endpoints as last sent
--- a/packages/peers/peer_links.cc
+++ b/packages/peers/peer_links.cc
@@ -14,18 +14,18 @@
 // Limit on accepted connections that are not authenticated. Beyond it the
 // oldest is closed, so that clients which connect and send nothing can't
 // exhaust the host's sockets.
-constexpr size_t kMaxPending = 64;
+constexpr size_t kMaxPendingSessions = 64;
 constexpr int kListenBacklog = 128;
 
 // Limit on links from hosts that are not in the host list.
-constexpr size_t kMaxUnlisted = 512;
+constexpr size_t kMaxUnlistedHosts = 512;
 
 // Digests are skipped for a receiver with more bytes than this queued. Queueing
 // them has no benefit, because the next delta covers all that was skipped.
-constexpr size_t kMaxDigestBacklog = 64UL * 1024;
+constexpr size_t kMaxDigestBacklogBytes = 64UL * 1024;
 
 // Number of digests received for each acknowledgement sent.
-constexpr uint64_t kAckEvery = 8;
+constexpr uint64_t kDigestsPerAck = 8;
 
 // Overhead of a frame: the headers of its packet (IPv4, TCP with timestamps)
 // and of the packet that acknowledges it.
@@ -33,14 +33,14 @@
 
 // Largest part of a BucketsReply, in bytes, that is sent in one frame, unless a
 // single bucket is larger.
-constexpr size_t kMaxReplyPart = 256UL * 1024;
+constexpr size_t kMaxReplyPartBytes = 256UL * 1024;
 
 // Splits a reply into parts that fit into frames.
 std::vector<BucketsReply> Split(const BucketsReply& reply) {
   std::vector<BucketsReply> parts(1, {.head_revision = reply.head_revision});
   size_t bytes = 0;
   for (const auto& bucket : reply.buckets) {
-    if (bytes > 0 && bytes + bucket.value.size() > kMaxReplyPart) {
+    if (bytes > 0 && bytes + bucket.value.size() > kMaxReplyPartBytes) {
       parts.push_back({.head_revision = reply.head_revision});
       bytes = 0;
     }
@@ -116,7 +116,7 @@
   if (socket == nullptr) {
     return;
   }
-  if (this->pending.size() >= kMaxPending) {
+  if (this->pending.size() >= kMaxPendingSessions) {
     this->pending.front()->Close(
         {.kind = ErrorKind::kOverloaded,
          .message = "too many unauthenticated connections"});
@@ -139,13 +139,13 @@
           }};
 }
 
-void PeerLinks::SetPatience(Duration silence_timeout, Duration dial_grace) {
+void PeerLinks::SetTimeouts(Duration silence_timeout, Duration dial_grace) {
   this->options.session.silence_timeout = silence_timeout;
   this->options.dial_grace = dial_grace;
 }
 
 void PeerLinks::SetHosts(const std::vector<PeerHost>& hosts,
-                         Delisted delisted) {
+                         DelistedLinkPolicy delisted) {
   std::map<HostId, PeerHost> wanted;
   for (const auto& host : hosts) {
     if (host.host != this->options.session.host) {
@@ -160,14 +160,14 @@
   }
   for (const auto& id : removed) {
     Link& link = this->links[id];
-    if (link.up && delisted == Delisted::kKeep) {
+    if (link.up && delisted == DelistedLinkPolicy::kKeep) {
       continue;
     }
     if (link.session != nullptr) {
       link.session->Close({.kind = ErrorKind::kNotFound,
                            .message = "host removed from the host list"});
     }
-    this->ForgetHost(id);
+    this->RemoveLink(id);
   }
   for (const auto& [id, host] : wanted) {
     const bool added = !this->links.contains(id);
@@ -220,7 +220,7 @@
   }
 }
 
-void PeerLinks::Bury(std::unique_ptr<PeerSession> session) {
+void PeerLinks::DestroyLater(std::unique_ptr<PeerSession> session) {
   if (session != nullptr) {
     this->stats.traffic += session->Traffic();
     this->closed.push_back(std::move(session));
@@ -239,7 +239,7 @@
   return taken;
 }
 
-PeerLinks::Link* PeerLinks::LinkOf(const PeerSession& session) {
+PeerLinks::Link* PeerLinks::FindLink(const PeerSession& session) {
   const auto found = std::ranges::find_if(this->links, [&](const auto& entry) {
     return entry.second.session.get() == &session;
   });
@@ -254,7 +254,7 @@
     auto old = std::move(link.session);
     old->Close(
         {.kind = ErrorKind::kStale, .message = "replaced by a newer session"});
-    this->Bury(std::move(old));
+    this->DestroyLater(std::move(old));
   }
   link.session = std::move(session);
 }
@@ -268,12 +268,12 @@
         this->links, [](const auto& entry) { return !entry.second.listed; });
     const uint64_t known_incarnation =
         known ? this->links[id].received.front().Current().incarnation : 0;
-    if ((!known && static_cast<size_t>(unlisted) >= kMaxUnlisted) ||
+    if ((!known && static_cast<size_t>(unlisted) >= kMaxUnlistedHosts) ||
         session.Peer().incarnation < known_incarnation) {
       session.Close({.kind = ErrorKind::kStale,
                      .message = "older incarnation of a linked host, or too "
                                 "many unlisted hosts"});
-      this->Bury(std::move(accepted));
+      this->DestroyLater(std::move(accepted));
       return;
     }
     Link& link = this->links[id];
@@ -281,7 +281,7 @@
     link.host.data_centre = session.Peer().data_centre;
     this->Adopt(link, std::move(accepted));
   }
-  Link* link = this->LinkOf(session);
+  Link* link = this->FindLink(session);
   assert(link != nullptr);
   link->up = true;
   if (link->backoff) {
@@ -307,12 +307,12 @@
 }
 
 void PeerLinks::OnMessage(PeerSession& session, WireMessage message) {
-  Link* link = this->LinkOf(session);
+  Link* link = this->FindLink(session);
   if (link == nullptr) {
     return;
   }
-  if (this->handlers.on_heard) {
-    this->handlers.on_heard(session.Peer());
+  if (this->handlers.on_activity) {
+    this->handlers.on_activity(session.Peer());
   }
   if (auto* digest = std::get_if<PeerDigest>(&message)) {
     this->OnDigest(*link, std::move(*digest));
@@ -323,7 +323,7 @@
   }
 }
 
-void PeerLinks::ForgetHost(const HostId& id) {
+void PeerLinks::RemoveLink(const HostId& id) {
   for (auto& sender : this->digests) {
     sender.Remove(id);
   }
@@ -354,7 +354,7 @@
       ++this->stats.digests_stale;
       break;
     case DeltaOutcome::kGap:
-    case DeltaOutcome::kWrong:
+    case DeltaOutcome::kMalformed:
       ++this->stats.digests_gap;
       break;
   }
@@ -369,12 +369,12 @@
                 {"kind", std::string(AnswerFor(reason.kind).code)},
                 {"not_logged", std::to_string(this->refusals.Suppressed())}});
   }
-  this->Bury(this->TakePending(session));
-  Link* link = this->LinkOf(session);
+  this->DestroyLater(this->TakePending(session));
+  Link* link = this->FindLink(session);
   if (link == nullptr) {
     return;
   }
-  this->Bury(std::move(link->session));
+  this->DestroyLater(std::move(link->session));
   const HostId id = link->host.host;
   const bool was_up = std::exchange(link->up, false);
   if (was_up) {
@@ -384,7 +384,7 @@
     }
   }
   if (!link->listed) {
-    this->ForgetHost(id);
+    this->RemoveLink(id);
   }
   if (was_up) {
     LogInfo(kPart, "Link lost.",
@@ -395,9 +395,9 @@
   }
 }
 
-bool PeerLinks::MeantFor(DigestScope scope, const Link& link) const {
-  if (scope == DigestScope::kHost && this->options.digests_to) {
-    return link.up && this->options.digests_to(link.host.host);
+bool PeerLinks::IsRecipient(DigestScope scope, const Link& link) const {
+  if (scope == DigestScope::kHost && this->options.receives_digests) {
+    return link.up && this->options.receives_digests(link.host.host);
   }
   const bool same_data_centre =
       link.host.data_centre == this->options.session.data_centre;
@@ -414,7 +414,7 @@
   }
   this->digests[static_cast<size_t>(scope)].Update(digest);
   for (auto& [id, link] : this->links) {
-    if (this->MeantFor(scope, link)) {
+    if (this->IsRecipient(scope, link)) {
       this->SendDigestTo(scope, link);
     }
   }
@@ -439,7 +439,7 @@
   std::vector<ScopedAck> due;
   for (size_t scope = 0; scope < kDigestScopes; ++scope) {
     DigestAck ack = link.received[scope].Ack();
-    if (!ack.gap && ack.sequence < link.acked[scope] + kAckEvery) {
+    if (!ack.gap && ack.sequence < link.acked[scope] + kDigestsPerAck) {
       continue;
     }
     link.acked[scope] = ack.sequence;
@@ -452,10 +452,10 @@
 }
 
 void PeerLinks::SendDigestTo(DigestScope scope, Link& link) {
-  if (!this->MeantFor(scope, link)) {
+  if (!this->IsRecipient(scope, link)) {
     return;
   }
-  if (link.session->QueuedBytes() > kMaxDigestBacklog) {
+  if (link.session->QueuedBytes() > kMaxDigestBacklogBytes) {
     ++this->stats.digests_skipped;
     return;
   }
--- a/packages/peers/peer_links.h
+++ b/packages/peers/peer_links.h
@@ -73,7 +73,7 @@
   Duration longest_period = std::chrono::seconds(2);
   // Whether a linked host receives this host's own digests; null: all hosts of
   // its data centre do.
-  std::function<bool(const HostId&)> digests_to;
+  std::function<bool(const HostId&)> receives_digests;
 };
 
 // Callbacks of a PeerLinks. All are optional.
@@ -84,7 +84,7 @@
   std::function<void(const HostId&, const PeerMessage&)> on_message;
   // Called for every message received from a linked host, digests and
   // heartbeats included, so frequently.
-  std::function<void(const PeerHello&)> on_heard;
+  std::function<void(const PeerHello&)> on_activity;
   // A link was established, with the peer's incarnation; or it was lost.
   std::function<void(const HostId&, uint64_t incarnation)> on_up;
   std::function<void(const HostId&)> on_down;
@@ -105,7 +105,7 @@
 };
 
 // Whether SetHosts() closes links to hosts that were removed from the list.
-enum class Delisted { kClose, kKeep };
+enum class DelistedLinkPolicy { kClose, kKeep };
 
 // Maintains one host's links: accepts and dials connections, reconnects with
 // backoff, and sends and receives digests and messages.
@@ -121,14 +121,14 @@
   Result<SocketAddress> Listen();
 
   // Changes SessionOptions::silence_timeout and PeerLinksOptions::dial_grace.
-  void SetPatience(Duration silence_timeout, Duration dial_grace);
+  void SetTimeouts(Duration silence_timeout, Duration dial_grace);
 
   // Sets the hosts to be linked to. Links to hosts removed from the list are
   // closed, or kept until the peer closes them or the silence timeout expires.
   // Connections from hosts that are not in the list are accepted too: the list
   // lags, and any host that knows the fleet secret belongs to this fleet.
   void SetHosts(const std::vector<PeerHost>& hosts,
-                Delisted delisted = Delisted::kClose);
+                DelistedLinkPolicy delisted = DelistedLinkPolicy::kClose);
 
   // Sends a digest to the linked hosts that receive its scope: those of other
   // data centres for kDataCentre, else those of this one. Its host and
@@ -171,15 +171,15 @@
   void Dial(Link& link);
   void Adopt(Link& link, std::unique_ptr<PeerSession> session);
   std::unique_ptr<PeerSession> TakePending(const PeerSession& session);
-  void ForgetHost(const HostId& id);
-  Link* LinkOf(const PeerSession& session);
-  void Bury(std::unique_ptr<PeerSession> session);
+  void RemoveLink(const HostId& id);
+  Link* FindLink(const PeerSession& session);
+  void DestroyLater(std::unique_ptr<PeerSession> session);
   void OnEstablished(PeerSession& session);
   void OnMessage(PeerSession& session, WireMessage message);
   void OnDigest(Link& link, PeerDigest digest);
   std::vector<ScopedAck> DueAcks(Link& link) const;
   void OnClosed(PeerSession& session, const Error& reason);
-  bool MeantFor(DigestScope scope, const Link& link) const;
+  bool IsRecipient(DigestScope scope, const Link& link) const;
   void SendDigestTo(DigestScope scope, Link& link);
   uint64_t BytesOnWire() const;
   bool SendTo(Link& link, const PeerMessage& message);
--- a/packages/peers/session.cc
+++ b/packages/peers/session.cc
@@ -11,16 +11,16 @@
 namespace hickorystand {
 namespace {
 
-constexpr size_t kReadChunk = 16UL * 1024;
+constexpr size_t kReadChunkBytes = 16UL * 1024;
 // Limit on the bytes read per event loop iteration, so that a peer that floods
 // this host can't starve the other sessions.
-constexpr size_t kReadPerTurn = 64UL * 1024;
+constexpr size_t kMaxReadPerIteration = 64UL * 1024;
 
 // Contexts covered by tags and prefix of the session key's input. They differ,
 // so that a Hello can't be sent back as the answer to itself.
-constexpr std::string_view kDiallerHello = "hello";
-constexpr std::string_view kAccepterHello = "answer:";
-constexpr std::string_view kSessionKey = "session:";
+constexpr std::string_view kDiallerHelloContext = "hello";
+constexpr std::string_view kAccepterHelloContext = "answer:";
+constexpr std::string_view kSessionKeyPrefix = "session:";
 
 GSocket* NewSocket(const SocketAddress& address) {
   GInetAddress* ip = g_inet_address_new_from_string(address.host.c_str());
@@ -32,7 +32,7 @@
   return socket;
 }
 
-void DropSource(GSource*& source) {
+void DestroySource(GSource*& source) {
   if (source != nullptr) {
     g_source_destroy(source);
     g_source_unref(source);
@@ -66,7 +66,7 @@
       dialled(dialled),
       now(now),
       started(now),
-      last_heard(now),
+      last_received(now),
       last_sent(now) {
   assert(!options.secrets.empty() && "a fleet secret is needed");
 }
@@ -90,7 +90,7 @@
   std::unique_ptr<PeerSession> session(
       new PeerSession(options, std::move(handlers), now, false));
   session->state = State::kHello;
-  session->TakeSocket(G_SOCKET(g_object_ref(socket)));
+  session->AttachSocket(G_SOCKET(g_object_ref(socket)));
   return session;
 }
 
@@ -106,7 +106,7 @@
         {.kind = ErrorKind::kInternal, .message = "can't create a socket"});
     return;
   }
-  this->TakeSocket(new_socket);
+  this->AttachSocket(new_socket);
   GSocketAddress* to =
       g_inet_socket_address_new_from_string(address.host.c_str(), address.port);
   GError* error = nullptr;
@@ -121,7 +121,7 @@
   this->WatchWritable(true);
 }
 
-void PeerSession::TakeSocket(GSocket* taken) {
+void PeerSession::AttachSocket(GSocket* taken) {
   this->socket = taken;
   g_socket_set_blocking(this->socket, FALSE);
   // Digests are small and lose their value when late, so Nagle's algorithm must
@@ -137,7 +137,7 @@
 
 void PeerSession::WatchWritable(bool on) {
   if (!on) {
-    DropSource(this->writable);
+    DestroySource(this->writable);
     return;
   }
   if (this->writable == nullptr) {
@@ -184,8 +184,8 @@
   // The accepting side answers with the secret that the dialling side used, so
   // that hosts can connect while the secret is being rotated.
   const std::string context =
-      this->dialled ? std::string(kDiallerHello)
-                    : std::string(kAccepterHello) + this->peer.nonce;
+      this->dialled ? std::string(kDiallerHelloContext)
+                    : std::string(kAccepterHelloContext) + this->peer.nonce;
   const std::string& secret =
       this->dialled ? this->options.secrets.front() : this->key;
   this->Queue(SealFrame(secret, context, this->own_hello));
@@ -194,10 +194,10 @@
 // Verifies the peer's Hello and derives the session key. Returns false if the
 // session was closed.
 bool PeerSession::OnHello(std::string_view body) {
-  std::string context(kDiallerHello);
+  std::string context(kDiallerHelloContext);
   if (this->dialled) {
     const auto own = DecodeHello(this->own_hello);
-    context = std::string(kAccepterHello) + own->nonce;
+    context = std::string(kAccepterHelloContext) + own->nonce;
   }
   const auto secret = std::ranges::find_if(
       this->options.secrets, [&](const std::string& candidate) {
@@ -234,13 +234,13 @@
   if (!this->dialled) {
     this->SendHello();
   }
-  std::string key_input(kSessionKey);
+  std::string key_input(kSessionKeyPrefix);
   key_input += this->dialled ? this->own_hello : std::string(payload);
   key_input += this->dialled ? std::string(payload) : this->own_hello;
   this->key = Authenticate(this->key, key_input);
-  this->reader.SetLimit(kMaxFrame);
+  this->reader.SetLimit(kMaxFrameBytes);
   if (!this->dialled) {
-    this->state = State::kProving;
+    this->state = State::kAwaitingProof;
     return true;
   }
   this->state = State::kEstablished;
@@ -253,21 +253,22 @@
   if (this->state == State::kHello) {
     return this->OnHello(body);
   }
-  const auto payload =
-      OpenFrame(this->key, FrameContext(!this->dialled, this->next_in), body);
+  const auto payload = OpenFrame(
+      this->key, FrameContext(!this->dialled, this->next_receive_sequence),
+      body);
   if (!payload) {
     this->Close(payload.error());
     return false;
   }
-  ++this->next_in;
+  ++this->next_receive_sequence;
   ++this->traffic.frames_received;
   auto message = DecodeMessage(*payload);
   if (!message) {
     this->Close(message.error());
     return false;
   }
-  this->last_heard = this->now;
-  if (this->state == State::kProving) {
+  this->last_received = this->now;
+  if (this->state == State::kAwaitingProof) {
     this->state = State::kEstablished;
     this->handlers.on_established(*this);
   }
@@ -294,8 +295,9 @@
 }
 
 void PeerSession::Read() {
-  std::array<char, kReadChunk> chunk{};
-  for (size_t bytes_read = 0; bytes_read < kReadPerTurn && !this->Closed();) {
+  std::array<char, kReadChunkBytes> chunk{};
+  for (size_t bytes_read = 0;
+       bytes_read < kMaxReadPerIteration && !this->Closed();) {
     GError* error = nullptr;
     const gssize got = g_socket_receive(this->socket, chunk.data(),
                                         chunk.size(), nullptr, &error);
@@ -330,8 +332,9 @@
   }
   ++this->traffic.frames_sent;
   this->last_sent = this->now;
-  this->Queue(SealFrame(
-      this->key, FrameContext(this->dialled, this->next_out++), payload));
+  this->Queue(SealFrame(this->key,
+                        FrameContext(this->dialled, this->next_send_sequence++),
+                        payload));
   return true;
 }
 
@@ -378,7 +381,7 @@
   const bool slow =
       !this->Established() && at - this->started > this->options.hello_timeout;
   const bool silent = this->options.close_silent && this->Established() &&
-                      at - this->last_heard > this->options.silence_timeout;
+                      at - this->last_received > this->options.silence_timeout;
   if (slow || silent) {
     this->Close(
         {.kind = ErrorKind::kTimeout,
@@ -397,8 +400,8 @@
     return;
   }
   this->state = State::kClosed;
-  DropSource(this->readable);
-  DropSource(this->writable);
+  DestroySource(this->readable);
+  DestroySource(this->writable);
   if (this->socket != nullptr) {
     g_socket_close(this->socket, nullptr);
     g_clear_object(&this->socket);
--- a/packages/peers/session.h
+++ b/packages/peers/session.h
@@ -114,7 +114,7 @@
   bool Established() const { return this->state == State::kEstablished; }
   bool Closed() const { return this->state == State::kClosed; }
   bool Dialled() const { return this->dialled; }
-  Instant LastHeard() const { return this->last_heard; }
+  Instant LastReceived() const { return this->last_received; }
   Instant Started() const { return this->started; }
 
   // The peer's Hello.
@@ -127,13 +127,19 @@
  private:
   // kHello: waits for the peer's Hello. kAwaitingProof (accepting side): waits
   // for the first frame authenticated with the session key.
-  enum class State { kConnecting, kHello, kProving, kEstablished, kClosed };
+  enum class State {
+    kConnecting,
+    kHello,
+    kAwaitingProof,
+    kEstablished,
+    kClosed
+  };
 
   PeerSession(const SessionOptions& options,
               Handlers handlers,
               Instant now,
               bool dialled);
-  void TakeSocket(GSocket* taken);
+  void AttachSocket(GSocket* taken);
   void Connect(const SocketAddress& address);
   void SendHello();
   bool OnHello(std::string_view body);
@@ -154,20 +160,20 @@
   GSocket* socket = nullptr;
   GSource* readable = nullptr;
   GSource* writable = nullptr;
-  FrameReader reader{kMaxHelloFrame};
+  FrameReader reader{kMaxHelloFrameBytes};
   std::deque<std::string> queue;  // frames; the first may be partly written
   size_t queued_bytes = 0;
   size_t written = 0;  // bytes of the first frame already written
   std::string own_hello;
   std::string key;  // session key; within OnHello() first the fleet secret
   // Sequence numbers of the next frame in each direction.
-  uint64_t next_out = 0;
-  uint64_t next_in = 0;
+  uint64_t next_send_sequence = 0;
+  uint64_t next_receive_sequence = 0;
   PeerHello expected;
   PeerHello peer;
   Instant now;
   Instant started;
-  Instant last_heard;
+  Instant last_received;
   Instant last_sent;
   SessionTraffic traffic;
 };
--- a/packages/peers/wire.cc
+++ b/packages/peers/wire.cc
@@ -24,8 +24,8 @@
 // Limits on single fields. The length of a list is checked before memory is
 // allocated for it, so that a short frame can't make this host allocate
 // gigabytes.
-constexpr int32_t kMaxText = static_cast<int32_t>(kMaxFrame);
-constexpr int32_t kMaxList = 2 * kMaxDigestEntries;
+constexpr int32_t kMaxStringBytes = static_cast<int32_t>(kMaxFrameBytes);
+constexpr int32_t kMaxListLength = 2 * kMaxDigestEntries;
 constexpr size_t kMaxId = 256;
 constexpr int kMaxDepth = 8;
 
@@ -41,14 +41,15 @@
 Result<Struct> Decode(std::string_view payload) {
   try {
     const auto limits = std::make_shared<TConfiguration>(
-        static_cast<int>(kMaxFrame), static_cast<int>(kMaxFrame), kMaxDepth);
+        static_cast<int>(kMaxFrameBytes), static_cast<int>(kMaxFrameBytes),
+        kMaxDepth);
     // The constructor takes a pointer to non-const bytes, but a buffer in mode
     // OBSERVE only reads them.
     auto* bytes = reinterpret_cast<uint8_t*>(const_cast<char*>(payload.data()));
     const auto buffer = std::make_shared<TMemoryBuffer>(
         bytes, static_cast<uint32_t>(payload.size()), TMemoryBuffer::OBSERVE,
         limits);
-    Protocol protocol(buffer, kMaxText, kMaxList);
+    Protocol protocol(buffer, kMaxStringBytes, kMaxListLength);
     Struct value;
     value.read(&protocol);
     if (buffer->available_read() != 0) {
@@ -60,7 +61,7 @@
   }
 }
 
-bool GoodId(const std::string& id) {
+bool IsValidId(const std::string& id) {
   return id.size() <= kMaxId;
 }
 
@@ -101,7 +102,7 @@
                       .first = columns.first[i],
                       .second = columns.second[i]};
     if (definition != columns.definitions.end() && definition->index == index) {
-      if (!GoodId(definition->id) || definition->id.empty()) {
+      if (!IsValidId(definition->id) || definition->id.empty()) {
         return false;
       }
       entry.id = definition->id;
@@ -168,7 +169,7 @@
   return out;
 }
 
-bool GoodScope(int32_t scope) {
+bool IsValidScope(int32_t scope) {
   return scope >= 0 && scope < static_cast<int32_t>(kDigestScopes);
 }
 
@@ -189,8 +190,8 @@
   delta.configuration_revision = in.configuration_revision;
   delta.leaving = in.leaving;
   const bool good =
-      GoodScope(in.scope) && in.acks.size() <= kDigestScopes &&
-      std::ranges::all_of(in.acks, &GoodScope, &wire::Ack::scope) &&
+      IsValidScope(in.scope) && in.acks.size() <= kDigestScopes &&
+      std::ranges::all_of(in.acks, &IsValidScope, &wire::Ack::scope) &&
       delta.base <= delta.sequence &&
       FromWire(in.outstanding, delta.outstanding) &&
       FromWire(in.served, delta.served) &&
@@ -237,10 +238,10 @@
   return out;
 }
 
-PaceMessage ReadPaces(const wire::EnginePaces& in) {
+PaceMessage ReadPaceMessage(const wire::EnginePaces& in) {
   PaceMessage message;
   for (const wire::ServicePace& from : in.services) {
-    if (!GoodId(from.service_id)) {
+    if (!IsValidId(from.service_id)) {
       continue;
     }
     PaceFigures& figures = message.services[ServiceId(from.service_id)];
@@ -274,7 +275,7 @@
   return headers;
 }
 
-ForwardedRequest ReadForwarded(wire::ForwardedRequest& in) {
+ForwardedRequest ReadForwardedRequest(wire::ForwardedRequest& in) {
   return {.number = in.number,
           .method = std::move(in.method),
           .target = std::move(in.target),
@@ -292,7 +293,7 @@
                                : std::nullopt};
 }
 
-bool GoodAnswer(const wire::ForwardedAnswer& in) {
+bool IsValidAnswer(const wire::ForwardedAnswer& in) {
   return in.ending >= 0 && in.ending <= static_cast<int>(AnswerEnd::kBroken) &&
          in.length >= 0;
 }
@@ -357,7 +358,7 @@
 LimitTokens ReadLimitTokens(const wire::LimitTokens& in) {
   LimitTokens tokens{.revision = in.revision};
   for (const wire::TokenWant& want : in.wants) {
-    if (GoodId(want.account) && want.tokens >= 0) {
+    if (IsValidId(want.account) && want.tokens >= 0) {
       tokens.wants.push_back({.number = want.number,
                               .account = AccountId(want.account),
                               .tokens = want.tokens,
@@ -366,7 +367,7 @@
     }
   }
   for (const wire::TokenGrant& grant : in.grants) {
-    if (GoodId(grant.account) && grant.tokens >= 0) {
+    if (IsValidId(grant.account) && grant.tokens >= 0) {
       tokens.grants.push_back(
           {.number = grant.number,
            .account = AccountId(grant.account),
@@ -380,7 +381,7 @@
 PrefillLoad ReadLoad(const wire::PrefillLoad& in) {
   PrefillLoad load;
   for (const wire::ServiceLoad& one : in.services) {
-    if (GoodId(one.service_id) && one.tokens_per_second >= 0) {
+    if (IsValidId(one.service_id) && one.tokens_per_second >= 0) {
       load.tokens_per_second[ServiceId(one.service_id)] = one.tokens_per_second;
     }
   }
@@ -388,7 +389,7 @@
 }
 
 // Sets the field of the Thrift union that corresponds to a message.
-struct Writer {
+struct MessageWriter {
   wire::Message out;
 
   void operator()(const PeerHeartbeat& /*unused*/) { out.__set_heartbeat({}); }
@@ -584,7 +585,7 @@
   if (!in) {
     return tl::unexpected(in.error());
   }
-  if (in->host.empty() || !GoodId(in->host) || !GoodId(in->data_centre) ||
+  if (in->host.empty() || !IsValidId(in->host) || !IsValidId(in->data_centre) ||
       in->nonce.size() != kNonceBytes) {
     return Fail(ErrorKind::kBadRequest, "hello with a field out of range");
   }
@@ -596,7 +597,7 @@
 }
 
 std::string EncodeMessage(const WireMessage& message) {
-  Writer writer;
+  MessageWriter writer;
   std::visit(writer, message);
   return Encode(writer.out);
 }
@@ -621,7 +622,7 @@
   if (set.buckets_reply) {
     return WireMessage(ReadBuckets(in->buckets_reply));
   }
-  if (set.usage_copy && GoodId(in->usage_copy.host)) {
+  if (set.usage_copy && IsValidId(in->usage_copy.host)) {
     return WireMessage(PeerMessage(UsageCopyMessage{
         .host = HostId(in->usage_copy.host),
         .incarnation = static_cast<uint64_t>(in->usage_copy.incarnation),
@@ -629,13 +630,13 @@
         .time = in->usage_copy.__isset.time ? std::optional(in->usage_copy.time)
                                             : std::nullopt}));
   }
-  if (set.released && GoodId(in->released.data_centre)) {
+  if (set.released && IsValidId(in->released.data_centre)) {
     return WireMessage(PeerMessage(
         Released{.data_centre = DataCentreId(in->released.data_centre),
                  .incarnation = static_cast<uint64_t>(in->released.incarnation),
                  .fencing = in->released.fencing}));
   }
-  if (set.endpoint_news && GoodId(in->endpoint_news.endpoint)) {
+  if (set.endpoint_news && IsValidId(in->endpoint_news.endpoint)) {
     const auto& news = in->endpoint_news;
     return WireMessage(PeerMessage(
         EndpointNews{.endpoint = EndpointId(news.endpoint),
@@ -657,17 +658,18 @@
                         .record = std::move(in->freshness_answer.record)}));
   }
   if (set.engine_paces) {
-    return WireMessage(PeerMessage(ReadPaces(in->engine_paces)));
+    return WireMessage(PeerMessage(ReadPaceMessage(in->engine_paces)));
   }
   if (set.forwarded_request && in->forwarded_request.body_length >= 0) {
-    return WireMessage(PeerMessage(ReadForwarded(in->forwarded_request)));
+    return WireMessage(
+        PeerMessage(ReadForwardedRequest(in->forwarded_request)));
   }
   if (set.forwarded_body) {
     return WireMessage(PeerMessage(
         ForwardedBody{.number = in->forwarded_body.number,
                       .bytes = std::move(in->forwarded_body.bytes)}));
   }
-  if (set.forwarded_answer && GoodAnswer(in->forwarded_answer)) {
+  if (set.forwarded_answer && IsValidAnswer(in->forwarded_answer)) {
     return WireMessage(PeerMessage(ReadAnswer(in->forwarded_answer)));
   }
   if (set.forward_control && in->forward_control.action >= 0 &&
@@ -691,7 +693,7 @@
                       .draining = news.draining,
                       .last_resort = news.last_resort}));
   }
-  if (set.cache_update && GoodId(in->cache_update.endpoint) &&
+  if (set.cache_update && IsValidId(in->cache_update.endpoint) &&
       in->cache_update.parts.size() == in->cache_update.tokens.size()) {
     return WireMessage(PeerMessage(ReadCacheUpdate(in->cache_update)));
   }
--- a/packages/peers/wire.h
+++ b/packages/peers/wire.h
@@ -44,9 +44,9 @@
 // What a digest covers and who receives it. Each scope is a separate stream
 // with its own acknowledgements.
 enum class DigestScope {
-  kHost,        // the sending host; sent to its data centre
-  kDataCentre,  // the sender's data centre; sent to the other ones
-  kElsewhere,   // all other data centres; sent to the sender's own
+  kHost,              // the sending host; sent to its data centre
+  kDataCentre,        // the sender's data centre; sent to the other ones
+  kOtherDataCentres,  // all other data centres; sent to the sender's own
 };
 inline constexpr size_t kDigestScopes = 3;
 
--- a/packages/platform/etcd_store.cc
+++ b/packages/platform/etcd_store.cc
@@ -193,7 +193,7 @@
                                   .first_byte = this->calls->Timeout(),
                                   .between_bytes = kNoLimit}},
         {.on_head =
-             [this](const HttpAnswerHead& head) {
+             [this](const HttpResponseHead& head) {
                if (head.status != SOUP_STATUS_OK) {
                  this->Lose({ErrorKind::kPlatformDown,
                              "the watch was refused with status " +
--- a/packages/platform/json_client.cc
+++ b/packages/platform/json_client.cc
@@ -53,19 +53,19 @@
     call.overall_deadline =
         Timer::After(request.timeout * kMaxTimeoutFactor, give_up);
   }
-  HttpOutgoing outgoing{.address = request.address,
-                        .method = std::move(request.method),
-                        .target = std::move(request.target),
-                        .headers = std::move(request.headers),
-                        .content_type = "application/json",
-                        .body = std::move(request.body),
-                        .once = !request.idempotent,
-                        .timeouts = patience,
-                        .may_send = std::move(request.may_send)};
+  HttpClientRequest outgoing{.address = request.address,
+                             .method = std::move(request.method),
+                             .target = std::move(request.target),
+                             .headers = std::move(request.headers),
+                             .content_type = "application/json",
+                             .body = std::move(request.body),
+                             .once = !request.idempotent,
+                             .timeouts = patience,
+                             .may_send = std::move(request.may_send)};
   call.exchange = this->client.Send(
       std::move(outgoing),
       {.on_head =
-           [this, id](const HttpAnswerHead& head) {
+           [this, id](const HttpResponseHead& head) {
              this->pending.at(id)->reply.status = head.status;
              this->OnProgress(id);
            },
--- a/packages/relay/cache_feed.cc
+++ b/packages/relay/cache_feed.cc
@@ -59,9 +59,9 @@
   subscription.call = this->pool->Send(
       {.address = subscription.address,
        .head = subscription.listed
-                   ? this->codec->CacheNewsCall(subscription.address,
-                                                subscription.next,
-                                                this->options.wait)
+                   ? this->codec->CacheChangesCall(subscription.address,
+                                                   subscription.next,
+                                                   this->options.wait)
                    : this->codec->CacheListCall(subscription.address)},
       {.on_head =
            [this, engine](const Http1Head& head) {
@@ -89,8 +89,8 @@
   const auto events =
       complete
           ? is_full_list ? this->codec->ReadCacheList(subscription.body)
-                         : this->codec->ReadCacheNews(subscription.body)
-          : Result<CacheNews>(Fail(ErrorKind::kEndpointFailed, "no answer"));
+                         : this->codec->ReadCacheChanges(subscription.body)
+          : Result<CacheChanges>(Fail(ErrorKind::kEndpointFailed, "no answer"));
   if (!events) {
     LogDebug(kPart, "Cache event poll failed.",
              {{"endpoint", engine.Text()},
@@ -102,7 +102,7 @@
   this->PollAfter(engine, this->options.pause);
 }
 
-void CacheFeed::TakeNews(const EndpointId& engine, const CacheNews& events) {
+void CacheFeed::TakeNews(const EndpointId& engine, const CacheChanges& events) {
   Subscription& subscription = this->subscriptions.at(engine);
   // The engine restarted, or events were lost: entries recorded for it may have
   // been evicted. Those that remain are recorded again when they are next used.
@@ -114,22 +114,23 @@
   subscription.next = events.next;
   std::ranges::transform(events.changes, std::back_inserter(update.parts),
                          [](const CacheChange& change) {
-                           return PartTokens{.part = HashOfPart(change.part),
-                                             .tokens = change.tokens};
+                           return PartTokens{
+                               .part = PromptPartHash(change.part),
+                               .tokens = change.tokens};
                          });
-  this->TakeUpdate(update);
+  this->ApplyUpdate(update);
   if (this->handlers.on_update && (update.reset || !update.parts.empty())) {
     this->handlers.on_update(update);
   }
 }
 
-void CacheFeed::TakeUpdate(const CacheUpdate& update) {
+void CacheFeed::ApplyUpdate(const CacheUpdate& update) {
   const EndpointId& engine = update.engine.id;
   if (!this->placement->Knows(update.engine)) {
     return;
   }
   if (update.reset) {
-    this->placement->ForgetCache(engine);
+    this->placement->ClearCache(engine);
   }
   for (const PartTokens& part : update.parts) {
     this->placement->OnCache(engine, part);
--- a/packages/relay/cache_feed.h
+++ b/packages/relay/cache_feed.h
@@ -68,7 +68,7 @@
 
   // Applies an update that another host received from an engine. Ignores runs
   // that the placement doesn't have.
-  void TakeUpdate(const CacheUpdate& update);
+  void ApplyUpdate(const CacheUpdate& update);
 
   // The known cache contents of all engines that this host subscribes to.
   std::vector<CacheUpdate> Snapshot() const;
@@ -90,7 +90,7 @@
   void Poll(const EndpointId& engine);
   void PollAfter(const EndpointId& engine, Duration delay);
   void OnEnd(const EndpointId& engine, HttpEnd end);
-  void TakeNews(const EndpointId& engine, const CacheNews& events);
+  void TakeNews(const EndpointId& engine, const CacheChanges& events);
 
   CacheFeedOptions options;
   EndpointPool* pool;
--- a/packages/relay/caller_exchange.cc
+++ b/packages/relay/caller_exchange.cc
@@ -29,13 +29,13 @@
   this->Finish();
 }
 
-void CallerExchange::TellGone() {
+void CallerExchange::NotifyGone() {
   if (!std::exchange(this->over, true) && this->gone) {
     this->gone();
   }
 }
 
-void CallerExchange::TellDrained() {
+void CallerExchange::NotifyDrained() {
   if (this->drained) {
     this->drained();
   }
--- a/packages/relay/caller_exchange.h
+++ b/packages/relay/caller_exchange.h
@@ -92,8 +92,8 @@
 
  protected:
   // Calls the OnGone handler, unless the answer has ended.
-  void TellGone();
-  void TellDrained();
+  void NotifyGone();
+  void NotifyDrained();
 
   CallerMessage message;
   bool started = false;
--- a/packages/relay/caller_server.cc
+++ b/packages/relay/caller_server.cc
@@ -11,14 +11,14 @@
 
 // TCP user timeout: a caller that leaves sent bytes unacknowledged for this
 // long is considered disconnected.
-constexpr Duration kCallerSilence = std::chrono::seconds(10);
+constexpr Duration kCallerAckTimeout = std::chrono::seconds(10);
 
 // Bytes of pipelined requests that are buffered before reading pauses.
 constexpr size_t kMaxReadAhead = size_t{64} << 10;
 
 std::string HeadText(const AnswerStart& start, bool chunked, bool last) {
   std::string text = "HTTP/1.1 " + std::to_string(start.status) + " " +
-                     std::string(ReasonOf(start.status)) + "\r\n";
+                     std::string(ReasonPhrase(start.status)) + "\r\n";
   for (const HttpHeader& header : start.headers) {
     text += header.name + ": " + header.value + "\r\n";
   }
@@ -62,7 +62,7 @@
 
 }  // namespace
 
-std::string_view ReasonOf(int status) {
+std::string_view ReasonPhrase(int status) {
   const char* reason = soup_status_get_phrase(static_cast<guint>(status));
   return reason == nullptr ? "Unknown" : reason;
 }
@@ -81,8 +81,8 @@
   size_t Unsent() const override;
 
   // The connection ended, or has sent all written bytes.
-  void OnConnectionEnd() { this->TellGone(); }
-  void OnConnectionDrained() { this->TellDrained(); }
+  void OnConnectionEnd() { this->NotifyGone(); }
+  void OnConnectionDrained() { this->NotifyDrained(); }
 
  private:
   std::weak_ptr<CallerConnection> connection;
@@ -107,7 +107,7 @@
 
   void Begin(ObjectPtr<GSocket> accepted) {
     this->socket = StreamSocket::Adopt(
-        std::move(accepted), kCallerSilence,
+        std::move(accepted), kCallerAckTimeout,
         {.on_bytes = [this](std::string_view bytes) { this->OnBytes(bytes); },
          .on_drained =
              [this] {
@@ -164,7 +164,7 @@
   }
 
   // Without a timeout an incomplete request would hold memory for ever.
-  void RefuseSlow() { this->Refuse(408); }
+  void RefuseTimedOut() { this->Refuse(408); }
 
   void Refuse(int status) {
     this->socket->Write(HeadText({.status = status, .length = 0}, false, true));
@@ -192,7 +192,7 @@
     }
     if (fresh) {
       this->SetTimer(this->server->limits.head_timeout,
-                     &CallerConnection::RefuseSlow);
+                     &CallerConnection::RefuseTimedOut);
     }
     this->ReadOn();
   }
@@ -209,7 +209,7 @@
     } else if (this->parser.HeadRead()) {
       // Each pause within the body may be as long as the idle timeout.
       this->SetTimer(this->server->limits.idle_timeout,
-                     &CallerConnection::RefuseSlow);
+                     &CallerConnection::RefuseTimedOut);
     }
   }
 
--- a/packages/relay/caller_server.h
+++ b/packages/relay/caller_server.h
@@ -6,7 +6,7 @@
 //
 // Index
 //   CallerServer   the server
-//   ReasonOf       reason phrase of a status
+//   ReasonPhrase       reason phrase of a status
 
 #pragma once
 
@@ -68,6 +68,6 @@
 };
 
 // The reason phrase of an HTTP status, for the status line.
-std::string_view ReasonOf(int status);
+std::string_view ReasonPhrase(int status);
 
 }  // namespace hickorystand
--- a/packages/relay/endpoint_pool.cc
+++ b/packages/relay/endpoint_pool.cc
@@ -41,7 +41,7 @@
 
   void Open() {
     const EndpointPoolOptions& options = this->pool->options;
-    this->timer = Timer::After(options.connect_limit,
+    this->timer = Timer::After(options.connect_timeout,
                                [this] { this->Fail(HttpEnd::kNotSent); });
     this->socket = StreamSocket::Connect(
         this->address, options.silence,
@@ -165,7 +165,7 @@
   void StayIdle() {
     const EndpointPoolOptions& options = this->pool->options;
     this->idle_limit =
-        IdleTimeout(this->head.headers).value_or(options.default_idle) -
+        IdleTimeout(this->head.headers).value_or(options.default_idle_timeout) -
         options.idle_margin;
     if (this->idle_limit <= Duration{}) {
       this->Drop();
@@ -248,8 +248,8 @@
     : clock(&clock), options(options) {}
 
 EndpointPool::~EndpointPool() {
-  for (auto& [address, lane] : this->lanes) {
-    const Lane open = std::exchange(lane, {});
+  for (auto& [address, lane] : this->connections_by_address) {
+    const EndpointConnections open = std::exchange(lane, {});
     for (const auto& connection : open.busy) {
       connection->Drop();
     }
@@ -263,7 +263,7 @@
                                        EndpointEvents events) {
   auto exchange = std::make_shared<EndpointExchange>();
   exchange->events = std::move(events);
-  Lane& lane = this->lanes[send.address];
+  EndpointConnections& lane = this->connections_by_address[send.address];
   auto connection = this->TakeIdle(lane, send.once);
   if (!connection) {
     connection = std::make_shared<EndpointConnection>(this, send.address);
@@ -275,8 +275,9 @@
   return exchange;
 }
 
-std::shared_ptr<EndpointConnection> EndpointPool::TakeIdle(Lane& lane,
-                                                           bool once) {
+std::shared_ptr<EndpointConnection> EndpointPool::TakeIdle(
+    EndpointConnections& lane,
+    bool once) {
   // The endpoint is least likely to be closing the most recently used one.
   if (lane.idle.empty()) {
     return {};
@@ -295,13 +296,14 @@
 }
 
 bool EndpointPool::HasIdle(const SocketAddress& address) const {
-  const auto found = this->lanes.find(address);
-  return found != this->lanes.end() && !found->second.idle.empty();
+  const auto found = this->connections_by_address.find(address);
+  return found != this->connections_by_address.end() &&
+         !found->second.idle.empty();
 }
 
 void EndpointPool::Forget(const SocketAddress& address) {
-  const auto found = this->lanes.find(address);
-  if (found == this->lanes.end()) {
+  const auto found = this->connections_by_address.find(address);
+  if (found == this->connections_by_address.end()) {
     return;
   }
   for (const auto& connection : std::exchange(found->second.idle, {})) {
@@ -311,7 +313,7 @@
 
 size_t EndpointPool::Connections() const {
   size_t count = 0;
-  for (const auto& [address, lane] : this->lanes) {
+  for (const auto& [address, lane] : this->connections_by_address) {
     count += lane.idle.size() + lane.busy.size();
   }
   return count;
@@ -319,14 +321,14 @@
 
 void EndpointPool::OnIdle(
     const std::shared_ptr<EndpointConnection>& connection) {
-  Lane& lane = this->lanes[connection->address];
+  EndpointConnections& lane = this->connections_by_address[connection->address];
   lane.busy.remove(connection);
   lane.idle.push_back(connection);
 }
 
 void EndpointPool::OnClosed(
     const std::shared_ptr<EndpointConnection>& connection) {
-  Lane& lane = this->lanes[connection->address];
+  EndpointConnections& lane = this->connections_by_address[connection->address];
   lane.busy.remove(connection);
   lane.idle.remove(connection);
 }
--- a/packages/relay/endpoint_pool.h
+++ b/packages/relay/endpoint_pool.h
@@ -85,12 +85,12 @@
 struct EndpointPoolOptions {
   // Shorter than TCP's first retransmission, which comes after a second: a
   // connect takes one round trip unless a packet is lost.
-  Duration connect_limit = std::chrono::milliseconds(600);
+  Duration connect_timeout = std::chrono::milliseconds(600);
   // TCP user timeout: how long sent bytes may stay unacknowledged. It is the
   // only sign of a connection whose state a middlebox has dropped.
   Duration silence = std::chrono::milliseconds(900);
   // Idle timeout of a connection if the endpoint sends no Keep-Alive timeout.
-  Duration default_idle = std::chrono::seconds(4);
+  Duration default_idle_timeout = std::chrono::seconds(4);
   // Idle connections are closed this much before the endpoint would close them.
   Duration idle_margin = std::chrono::milliseconds(900);
   // Share of the idle timeout within which an idle connection may carry a
@@ -122,18 +122,19 @@
  private:
   friend class EndpointConnection;
 
-  struct Lane {
+  struct EndpointConnections {
     std::list<std::shared_ptr<EndpointConnection>> idle;
     std::list<std::shared_ptr<EndpointConnection>> busy;
   };
 
-  std::shared_ptr<EndpointConnection> TakeIdle(Lane& lane, bool once);
+  std::shared_ptr<EndpointConnection> TakeIdle(EndpointConnections& lane,
+                                               bool once);
   void OnIdle(const std::shared_ptr<EndpointConnection>& connection);
   void OnClosed(const std::shared_ptr<EndpointConnection>& connection);
 
   const Clock* clock;
   EndpointPoolOptions options;
-  std::map<SocketAddress, Lane> lanes;
+  std::map<SocketAddress, EndpointConnections> connections_by_address;
   int64_t opened = 0;
 };
 
--- a/packages/relay/event_cutter.cc
+++ b/packages/relay/event_cutter.cc
@@ -32,7 +32,7 @@
   return whole;
 }
 
-std::string EventCutter::TakeRest() {
+std::string EventCutter::TakePartialEvent() {
   return std::exchange(this->rest, {});
 }
 
--- a/packages/relay/event_cutter.h
+++ b/packages/relay/event_cutter.h
@@ -27,16 +27,16 @@
   std::string Feed(std::string_view bytes);
 
   // Removes and returns the bytes after the last complete event.
-  std::string TakeRest();
+  std::string TakePartialEvent();
 
   // Discards the incomplete event, since a new run repeats it.
-  void DropRest() { this->rest.clear(); }
+  void DropPartialEvent() { this->rest.clear(); }
 
   // Sets the id of the last event that the caller received.
   void ResumeAfter(int64_t id) { this->last_id = id; }
 
   // Whether bytes of an incomplete event are buffered.
-  bool HoldsRest() const { return !this->rest.empty(); }
+  bool HasPartialEvent() const { return !this->rest.empty(); }
 
   // The id of the last complete event that had one.
   std::optional<int64_t> LastId() const { return this->last_id; }
--- a/packages/relay/fleet_configuration.cc
+++ b/packages/relay/fleet_configuration.cc
@@ -21,7 +21,7 @@
   return best;
 }
 
-Duration FleetConfiguration::ShortestPause(const ServiceId& service) const {
+Duration FleetConfiguration::ShortestGapTarget(const ServiceId& service) const {
   Duration shortest{};
   for (const Route& route : this->routes) {
     const bool targets_service =
--- a/packages/relay/fleet_configuration.h
+++ b/packages/relay/fleet_configuration.h
@@ -39,7 +39,7 @@
          kind == Repeatability::kStreamResumable;
 }
 
-constexpr bool MayRunAgain(Repeatability kind) {
+constexpr bool IsRepeatable(Repeatability kind) {
   return kind == Repeatability::kIdempotent ||
          kind == Repeatability::kStreamResumable;
 }
@@ -72,15 +72,16 @@
 };
 
 // Properties of the engines of a service.
-struct EngineShape {
+struct EngineSpec {
   int64_t slots = 0;
   int64_t cache_tokens = 0;
   double copied_tokens = 0;  // per second, between engines of a zone
-  int64_t event_polls = 0;   // cache event polls that an engine holds at once
-  Duration handle_life{};    // how long a prefilled prompt is kept
-  Duration role_change{};    // unavailability during a role change
+  int64_t max_event_polls =
+      0;                       // cache event polls that an engine holds at once
+  Duration handle_lifetime{};  // how long a prefilled prompt is kept
+  Duration role_change_time{};  // unavailability during a role change
 
-  auto operator<=>(const EngineShape&) const = default;
+  auto operator<=>(const EngineSpec&) const = default;
 };
 
 // A group of interchangeable endpoints.
@@ -88,7 +89,7 @@
   ServiceId id;
   std::string health_path;
   int64_t max_connections = 0;  // to one endpoint, over all hosts
-  std::optional<EngineShape> engine;
+  std::optional<EngineSpec> engine;
   std::optional<ScaleBounds> scaling;
 
   bool operator==(const FleetService&) const = default;
@@ -128,7 +129,7 @@
 
   // The smallest gap_target of the routes to a service, or zero if none of them
   // sets one.
-  Duration ShortestPause(const ServiceId& service) const;
+  Duration ShortestGapTarget(const ServiceId& service) const;
 
   // The account that holds a key, or nullptr.
   const RelayAccount* FindAccount(std::string_view key) const;
--- a/packages/relay/fleet_duties.cc
+++ b/packages/relay/fleet_duties.cc
@@ -20,7 +20,7 @@
 // Minimum time between the end of a window and closing it. Other hosts send
 // their counts every half second, and the window is closed once all hosts have
 // sent theirs.
-constexpr Duration kSettle = std::chrono::milliseconds(700);
+constexpr Duration kMinCloseDelay = std::chrono::milliseconds(700);
 
 // Delay after a report that was not accepted. Each call is billed and the
 // platform accepts 50 calls a second from all hosts together, while a report is
@@ -33,14 +33,14 @@
 constexpr Duration kNewHostReserve = std::chrono::milliseconds(1000);
 
 // How long a stopping host waits for the answers to its calls.
-constexpr Duration kReleasePatience = std::chrono::milliseconds(1200);
+constexpr Duration kReleaseTimeout = std::chrono::milliseconds(1200);
 
 // Smallest correction of the fleet time that is logged, in milliseconds.
-constexpr int64_t kTimeChangeLogged = 50;
+constexpr int64_t kLoggedTimeChangeMs = 50;
 
 // Number of usage windows whose records are kept in the store. Each new record
 // deletes the oldest one.
-constexpr int64_t kKeptRecords = 12;
+constexpr int64_t kKeptWindowRecords = 12;
 
 // All hosts of the fleet compete for the same lease.
 const DataCentreId& Group() {
@@ -75,23 +75,23 @@
       usage({.host = this->options.host,
              .incarnation = this->options.incarnation},
             this->options.window),
-      true_time(clock.WallMilliseconds(),
-                ToMilliseconds(clock.Now().time_since_epoch())),
+      fleet_time(clock.WallMilliseconds(),
+                 ToMilliseconds(clock.Now().time_since_epoch())),
       tenure(this->options.lease) {}
 
 FleetDuties::~FleetDuties() = default;
 
 int64_t FleetDuties::UnixMilliseconds() const {
-  return this->true_time.UnixAt(
+  return this->fleet_time.UnixAt(
       ToMilliseconds(this->clock->Now().time_since_epoch()));
 }
 
 void FleetDuties::OnPeerTime(const HostId& host, int64_t unix_ms) {
   const int64_t before = this->UnixMilliseconds();
-  this->true_time.OnPeer(host, unix_ms,
-                         ToMilliseconds(this->clock->Now().time_since_epoch()));
+  this->fleet_time.OnPeer(
+      host, unix_ms, ToMilliseconds(this->clock->Now().time_since_epoch()));
   const int64_t change = this->UnixMilliseconds() - before;
-  if (std::abs(change) >= kTimeChangeLogged) {
+  if (std::abs(change) >= kLoggedTimeChangeMs) {
     LogInfo(kPart, "Fleet time corrected.",
             {{"change_ms", std::to_string(change)},
              {"told_by", host.Text()},
@@ -106,7 +106,7 @@
 
 void FleetDuties::Retire() {
   const Instant now = this->clock->Now();
-  this->release_by = now + kReleasePatience;
+  this->release_by = now + kReleaseTimeout;
   if (this->MayAct()) {
     this->ReportDue();
   }
@@ -145,7 +145,7 @@
   this->Run(actions);
   if (this->MayAct()) {
     this->ReportDue();
-    if (!this->release_by && now >= this->orders_from) {
+    if (!this->release_by && now >= this->orders_start) {
       this->PlanRoles(now);
       this->PlanEngines(now);
     }
@@ -197,7 +197,7 @@
   this->role_orders.clear();
   this->scale_orders.clear();
   this->spot_unavailable_until.clear();
-  this->first_live.clear();
+  this->initial_engines.clear();
   this->planned.clear();
   this->live_counts.clear();
   this->reported.clear();
@@ -216,8 +216,8 @@
     wait = released->wait;
     reason = "released";
   }
-  this->tenure.OnTaken(now, wait);
-  this->orders_from =
+  this->tenure.OnLeaseAcquired(now, wait);
+  this->orders_start =
       this->first_tenure ? now : now + std::max(wait, this->options.lease);
   LogInfo(kPart, "Took the duties.",
           {{"fencing", std::to_string(this->lease.Fencing())},
@@ -238,7 +238,7 @@
   };
 }
 
-void FleetDuties::TakeLease(
+void FleetDuties::ApplyLeaseStep(
     Instant now,
     const std::function<bool(std::vector<LeaseAction>&)>& step) {
   std::vector<LeaseAction> actions;
@@ -253,7 +253,7 @@
       this->store->Transact(
           run->transaction, [this, tag = run->tag](const StoreReply& reply) {
             const Instant now = this->clock->Now();
-            this->TakeLease(now, [&](std::vector<LeaseAction>& out) {
+            this->ApplyLeaseStep(now, [&](std::vector<LeaseAction>& out) {
               return this->lease.OnStoreReply(now, tag, reply, out);
             });
           });
@@ -261,7 +261,7 @@
       this->store->GrantLease(
           grant->length, [this, tag = grant->tag](Result<int64_t> granted) {
             const Instant now = this->clock->Now();
-            this->TakeLease(now, [&](std::vector<LeaseAction>& out) {
+            this->ApplyLeaseStep(now, [&](std::vector<LeaseAction>& out) {
               return this->lease.OnLeaseGranted(now, tag, granted, out);
             });
           });
@@ -269,7 +269,7 @@
       this->store->RenewLease(
           renew->lease, [this, tag = renew->tag](Result<Duration> left) {
             const Instant now = this->clock->Now();
-            this->TakeLease(now, [&](std::vector<LeaseAction>& out) {
+            this->ApplyLeaseStep(now, [&](std::vector<LeaseAction>& out) {
               return this->lease.OnLeaseRenewed(now, tag, left, out);
             });
           });
@@ -306,7 +306,7 @@
     const bool urgent = passed >= ToMilliseconds(this->options.report_due -
                                                  this->ReportReserve());
     if (!this->reported.contains(window) && !this->under_way.contains(window) &&
-        passed >= ToMilliseconds(kSettle) && (complete || urgent)) {
+        passed >= ToMilliseconds(kMinCloseDelay) && (complete || urgent)) {
       LogInfo(kPart, "Usage window closed.",
               {{"window", std::to_string(window)},
                {"reason", complete ? "counts complete" : "report due"},
@@ -326,7 +326,7 @@
   this->store->Transact(
       {.conditions = {{.key = key, .revision = 0}},
        .then = {StorePut(key, EncodeWindowCounts(counts)),
-                StoreDelete(UsageKey(window - kKeptRecords))},
+                StoreDelete(UsageKey(window - kKeptWindowRecords))},
        .otherwise = {StoreGet(key)}},
       [this, window, counts](const StoreReply& reply) {
         if (reply.outcome == StoreOutcome::kThen) {
--- a/packages/relay/fleet_duties.h
+++ b/packages/relay/fleet_duties.h
@@ -59,23 +59,23 @@
   Duration report_reserve = std::chrono::milliseconds(3500);
   // Maximum share of a service's engines that change their role at a time. An
   // engine is unavailable for seconds during a change.
-  double roles_under_way = 0.25;
+  double max_role_change_share = 0.25;
   // The same while no streams run, when unavailable engines delay no requests.
-  double roles_under_way_idle = 0.6;
+  double max_role_change_share_idle = 0.6;
   // Interval between two calculations of the engines needed.
   Duration scale_period = std::chrono::milliseconds(800);
   // Engines are counted only after their number has been constant for this
   // long. After the start of the fleet or a recovery of the store, engines
   // appear in the list one by one; an order based on half of the list would
   // remove the other half.
-  Duration count_settles = std::chrono::milliseconds(1700);
+  Duration count_settle_time = std::chrono::milliseconds(1700);
   // At the first start of the fleet no spot engine has been ordered yet. The
   // first ones are ordered once any endpoint has been listed for this long,
   // because they take seconds to start and requests arrive soon.
-  Duration first_order = std::chrono::milliseconds(900);
+  Duration first_order_delay = std::chrono::milliseconds(900);
   // An order is repeated if its engines are not listed after this time. An
   // engine takes four seconds to start and one heartbeat to be listed.
-  Duration scale_shows = std::chrono::milliseconds(7000);
+  Duration scale_order_timeout = std::chrono::milliseconds(7000);
   // Delay before a zone that had no spot engines available is tried again.
   Duration spot_retry = std::chrono::milliseconds(4000);
 };
@@ -166,8 +166,9 @@
 
   void Tick();
   void Run(const std::vector<LeaseAction>& actions);
-  void TakeLease(Instant now,
-                 const std::function<bool(std::vector<LeaseAction>&)>& step);
+  void ApplyLeaseStep(
+      Instant now,
+      const std::function<bool(std::vector<LeaseAction>&)>& step);
   void NoteHolding(Instant now);
   void NoteTaken(Instant now);
   void ReleaseWhenIdle(Instant now);
@@ -180,7 +181,7 @@
   void ReportWindow(int64_t window, const WindowCounts& counts);
   Duration ReportReserve() const;
   void PlanRoles(Instant now);
-  double StreamsOf(const ServiceId& service, const FleetEndpoints& expected);
+  double PeakStreams(const ServiceId& service, const FleetEndpoints& expected);
   void PlanRolesOf(const ServiceId& service, FleetEndpoints& expected);
   void OrderRole(const RoleChange& change);
   void NoteAcceptedRole(const EndpointId& endpoint);
@@ -220,11 +221,11 @@
   FleetDutiesInputs inputs;
   Lease lease;
   UsageWindows usage;
-  FleetClock true_time;
+  FleetClock fleet_time;
   Instant started{};
   bool holding = false;
   DutyTenure tenure;
-  Instant orders_from{};
+  Instant orders_start{};
   bool first_tenure = false;  // of the fleet's first start
   // Set by Retire(): the time at which the lease is released even if calls are
   // under way.
@@ -238,11 +239,11 @@
   std::map<ScaleKey, Instant> spot_unavailable_until;
   std::map<ServiceId, LiveCount> live_counts;
   // Peak prefill load with slow and with fast decay.
-  std::map<ServiceId, double> reading_peak;
-  std::map<ServiceId, double> reading_now;
+  std::map<ServiceId, double> prefill_peak;
+  std::map<ServiceId, double> prefill_recent;
   std::map<ServiceId, double> streams_peak;
   // Engines at the start of the tenure, and the target number of engines.
-  std::map<ServiceId, int64_t> first_live;
+  std::map<ServiceId, int64_t> initial_engines;
   std::map<ServiceId, int64_t> planned;
   Instant next_scale{};
   std::unique_ptr<Timer> timer;
--- a/packages/relay/fleet_duties_engines.cc
+++ b/packages/relay/fleet_duties_engines.cc
@@ -18,22 +18,22 @@
 
 // Decay of the peak prefill load with each calculation, every 0.8 s. It is slow
 // because the next burst comes within half a minute.
-constexpr double kPeakKept = 0.985;
+constexpr double kPrefillPeakDecay = 0.985;
 
 // The same for the load that on-demand engines are ordered for. It is fast
 // because they are expensive and not needed once a burst is over.
-constexpr double kNowKept = 0.9;
+constexpr double kRecentPrefillDecay = 0.9;
 
 // Decay of the peak number of concurrent streams with each tick.
-constexpr double kStreamsKept = 0.997;
+constexpr double kStreamsPeakDecay = 0.997;
 
 // Time after which a role order that has no visible effect counts as lost. It
 // covers the role change, a heartbeat and a read of the endpoint list.
-constexpr Duration kRoleShows = std::chrono::milliseconds(6500);
+constexpr Duration kRoleOrderTimeout = std::chrono::milliseconds(6500);
 
 // The same for an order that the engine accepted: it first completes its
 // running streams, which may be long.
-constexpr Duration kRoleTaken = std::chrono::seconds(20);
+constexpr Duration kAcceptedRoleTimeout = std::chrono::seconds(20);
 
 // Delay before an engine that refused a role is ordered again.
 constexpr Duration kRoleRetry = std::chrono::seconds(2);
@@ -63,8 +63,8 @@
 }
 
 // Returns the recent peak of concurrent streams.
-double FleetDuties::StreamsOf(const ServiceId& service,
-                              const FleetEndpoints& expected) {
+double FleetDuties::PeakStreams(const ServiceId& service,
+                                const FleetEndpoints& expected) {
   double running = 0;
   for (const auto& [id, endpoint] : expected) {
     if (endpoint.service == service &&
@@ -73,18 +73,18 @@
     }
   }
   double& peak = this->streams_peak[service];
-  peak = std::max(running, peak * kStreamsKept);
+  peak = std::max(running, peak * kStreamsPeakDecay);
   return peak;
 }
 
 // Orders role changes until the maximum number is under way or none is needed.
 void FleetDuties::PlanRolesOf(const ServiceId& service,
                               FleetEndpoints& expected) {
-  const RoleLoad load{.streams = this->StreamsOf(service, expected),
+  const RoleLoad load{.streams = this->PeakStreams(service, expected),
                       .running = this->inputs.running};
   const double share = load.streams < kIdleStreams
-                           ? this->options.roles_under_way_idle
-                           : this->options.roles_under_way;
+                           ? this->options.max_role_change_share_idle
+                           : this->options.max_role_change_share;
   const auto of_service = [&service](const auto& entry) {
     return entry.second.service == service;
   };
@@ -118,7 +118,7 @@
 void FleetDuties::NoteAcceptedRole(const EndpointId& endpoint) {
   const auto order = this->role_orders.find(endpoint);
   if (order != this->role_orders.end()) {
-    order->second.until = this->clock->Now() + kRoleTaken;
+    order->second.until = this->clock->Now() + kAcceptedRoleTimeout;
   }
 }
 
@@ -127,7 +127,7 @@
   this->role_orders[change.endpoint] = {
       .run = endpoint.run,
       .role = change.role,
-      .until = this->clock->Now() + kRoleShows};
+      .until = this->clock->Now() + kRoleOrderTimeout};
   LogInfo(kPart, "Role ordered.",
           {{"endpoint", change.endpoint.Text()},
            {"role", change.role == EndpointRole::kPrefill ? "read prompts"
@@ -177,7 +177,7 @@
   }
   known.settled =
       known.settled ||
-      (live > 0 && now - known.since >= this->options.count_settles);
+      (live > 0 && now - known.since >= this->options.count_settle_time);
   return known.settled;
 }
 
@@ -195,19 +195,19 @@
 FleetDuties::EngineNeed FleetDuties::NeededEngines(const ServiceId& service,
                                                    const ScaleBounds& bounds,
                                                    int64_t live) {
-  double& peak = this->reading_peak[service];
-  double& recent = this->reading_now[service];
+  double& peak = this->prefill_peak[service];
+  double& recent = this->prefill_recent[service];
   const double reading = this->inputs.reading(service);
-  peak = std::max(reading, peak * kPeakKept);
-  recent = std::max(reading, recent * kNowKept);
+  peak = std::max(reading, peak * kPrefillPeakDecay);
+  recent = std::max(reading, recent * kRecentPrefillDecay);
   const ScalePlanOptions scaling;
   const int64_t first =
-      this->first_live.try_emplace(service, live).first->second;
+      this->initial_engines.try_emplace(service, live).first->second;
   const int64_t wanted = std::max(
       EnginesWanted(peak, CheapestPrice(bounds, scaling), bounds, scaling),
-      EnginesAtFirst(first, bounds, scaling));
+      InitialEngines(first, bounds, scaling));
   int64_t& planned = this->planned[service];
-  if (wanted > planned || wanted < planned - scaling.tolerated_less) {
+  if (wanted > planned || wanted < planned - scaling.shrink_tolerance) {
     planned = wanted;
   }
   // Until the load is known, half of the target is kept. Engines that are
@@ -256,10 +256,10 @@
                              int64_t live) {
   const Instant seen = this->live_counts.at(service).first_seen;
   if (!this->first_tenure || live == 0 ||
-      now - seen < this->options.first_order) {
+      now - seen < this->options.first_order_delay) {
     return;
   }
-  const EngineNeed need{.wanted = EnginesAtFirst(live, bounds), .needed = live};
+  const EngineNeed need{.wanted = InitialEngines(live, bounds), .needed = live};
   const EnginesByZone plan =
       PlanScale(counts, need.wanted, need.needed, bounds);
   for (const auto& [zone, target] : plan) {
@@ -325,7 +325,7 @@
   if (before != this->scale_orders.end()) {
     const bool same = before->second.count == count;
     const bool still_waiting =
-        now - before->second.ordered < this->options.scale_shows;
+        now - before->second.ordered < this->options.scale_order_timeout;
     if (before->second.under_way || (same && (has == count || still_waiting))) {
       return;
     }
--- a/packages/relay/fleet_peers.cc
+++ b/packages/relay/fleet_peers.cc
@@ -106,7 +106,7 @@
               [this](const HostId& host, const PeerMessage& message) {
                 this->OnMessage(host, message);
               },
-          .on_heard = [](const PeerHello&) {},
+          .on_activity = [](const PeerHello&) {},
           .on_up =
               [this](const HostId& host, uint64_t) {
                 LogInfo(kPart, "Host linked.", {{"host", host.Text()}});
@@ -124,7 +124,7 @@
   this->linked_schedulers.erase(host);
   this->handlers.on_gone(host);
   if (this->draining.erase(host) > 0) {
-    this->ListSoon();
+    this->ScheduleEarlyList();
   }
 }
 
@@ -163,7 +163,7 @@
   if (this->role == FleetRole::kIngress) {
     this->refresh_timer =
         Timer::After(Duration{}, [this] { this->RefreshLinks(); });
-    this->ListSoon();
+    this->ScheduleEarlyList();
   }
 }
 
@@ -185,7 +185,7 @@
       .seed = this->options.seed,
       .budget_bytes_per_second = this->options.digest_bytes_per_second,
       .shortest_period = this->options.shortest_digest,
-      .digests_to = [this](const HostId& host) {
+      .receives_digests = [this](const HostId& host) {
         return this->role == FleetRole::kScheduler && this->IsScheduler(host);
       }};
   this->links = std::make_unique<PeerLinks>(std::move(link_options),
@@ -194,7 +194,7 @@
     LogError(kPart, "Failed to listen for links from other hosts.",
              {{"why", opened.error().message}});
   }
-  this->SetPatience();
+  this->SetTimeouts();
   this->LinkToSchedulers();
   this->SendDigest();
 }
@@ -202,12 +202,12 @@
 // An ingress host always opens its links itself, so it does not wait for the
 // other side to do so. Its silence timeout is short because its callers wait
 // while a scheduler is silent.
-void FleetPeers::SetPatience() {
+void FleetPeers::SetTimeouts() {
   if (this->links && this->role == FleetRole::kIngress) {
-    this->links->SetPatience(this->options.ingress_silence, Duration{});
+    this->links->SetTimeouts(this->options.ingress_silence, Duration{});
   } else if (this->links) {
     const PeerLinksOptions defaults;
-    this->links->SetPatience(defaults.session.silence_timeout,
+    this->links->SetTimeouts(defaults.session.silence_timeout,
                              defaults.dial_grace);
   }
 }
@@ -225,8 +225,8 @@
   // A host that became an ingress host forwards over the links it already had,
   // so schedulers keep links to hosts that are no longer listed.
   this->links->SetHosts(targets, this->role == FleetRole::kScheduler
-                                     ? Delisted::kKeep
-                                     : Delisted::kClose);
+                                     ? DelistedLinkPolicy::kKeep
+                                     : DelistedLinkPolicy::kClose);
 }
 
 void FleetPeers::SendDigest() {
@@ -283,13 +283,13 @@
   });
 }
 
-void FleetPeers::ListSoon() {
+void FleetPeers::ScheduleEarlyList() {
   if (this->role != FleetRole::kIngress ||
-      std::exchange(this->lists_soon, true)) {
+      std::exchange(this->early_list_scheduled, true)) {
     return;
   }
   std::uniform_int_distribution<int64_t> spread(
-      0, this->options.list_spread.count());
+      0, this->options.list_jitter.count());
   const Duration age = this->clock->Now() - this->listed_at;
   this->list_timer = Timer::After(std::max(Duration(spread(this->random)),
                                            this->options.first_list * 2 - age),
@@ -297,12 +297,12 @@
 }
 
 void FleetPeers::List() {
-  this->lists_soon = false;
+  this->early_list_scheduled = false;
   const bool lost =
       this->role == FleetRole::kIngress &&
       std::ranges::includes(this->draining, this->linked_schedulers);
   const bool settled = this->role != FleetRole::kUnknown &&
-                       this->lists_against_role == 0 && !lost &&
+                       this->contrary_lists == 0 && !lost &&
                        (this->listed > 1 || !this->schedulers.empty());
   const Duration interval = this->role == FleetRole::kIngress
                                 ? this->options.ingress_list
@@ -315,12 +315,12 @@
                          .stale = true},
                         [this](const StoreReply& reply) {
                           if (reply.outcome == StoreOutcome::kThen) {
-                            this->TakeList(reply);
+                            this->ApplyList(reply);
                           }
                         });
 }
 
-void FleetPeers::TakeList(const StoreReply& reply) {
+void FleetPeers::ApplyList(const StoreReply& reply) {
   if (reply.revision < this->list_revision) {
     return;  // a stale read may be older than the previous one
   }
@@ -347,7 +347,7 @@
       !self_listed) {
     return;  // own record not written yet, so others are probably missing too
   }
-  this->KeepLinked(hosts);
+  this->AddLinkedSchedulers(hosts);
   hosts.push_back(this->options.self);
   const std::set<HostId> planned =
       PlanSchedulers(hosts, this->options.topology);
@@ -356,9 +356,9 @@
   });
   std::ranges::sort(hosts, {}, &FleetHost::id);
   if (!this->left) {
-    this->TakeRole(planned.contains(this->options.self.id)
-                       ? FleetRole::kScheduler
-                       : FleetRole::kIngress);
+    this->ApplyPlannedRole(planned.contains(this->options.self.id)
+                               ? FleetRole::kScheduler
+                               : FleetRole::kIngress);
   }
   this->listed = planned.size();
   this->rank = static_cast<size_t>(
@@ -400,21 +400,21 @@
 
 // Records may be missing from a list, so a single list does not change the
 // current role.
-void FleetPeers::TakeRole(FleetRole planned) {
+void FleetPeers::ApplyPlannedRole(FleetRole planned) {
   if (planned == this->role) {
-    this->lists_against_role = 0;
+    this->contrary_lists = 0;
     return;
   }
   if (this->role != FleetRole::kUnknown &&
-      ++this->lists_against_role < this->options.lists_for_role) {
+      ++this->contrary_lists < this->options.lists_to_confirm_role) {
     return;
   }
-  this->lists_against_role = 0;
+  this->contrary_lists = 0;
   this->role = planned;
   LogInfo(kPart, "Role of this host changed.",
           {{"role", std::string(NameOf(planned))}});
   this->handlers.on_role(planned);
-  this->SetPatience();
+  this->SetTimeouts();
   this->OpenLinks();
   this->digest_timer.reset();
   if (this->links) {
@@ -426,7 +426,7 @@
 // rejects the calls of a host, its record expires while the host continues to
 // serve; without the link, its usage counts and its work at endpoints would
 // reach no other host. The link to a host that has really stopped times out.
-void FleetPeers::KeepLinked(std::vector<FleetHost>& listed) const {
+void FleetPeers::AddLinkedSchedulers(std::vector<FleetHost>& listed) const {
   if (!this->links) {
     return;
   }
--- a/packages/relay/fleet_peers.h
+++ b/packages/relay/fleet_peers.h
@@ -44,9 +44,9 @@
   Duration first_list = std::chrono::milliseconds(400);
   // An ingress host that is notified of a draining host reads the list after a
   // random delay of up to this, because many hosts are notified at once.
-  Duration list_spread = std::chrono::milliseconds(1200);
+  Duration list_jitter = std::chrono::milliseconds(1200);
   // Consecutive lists that must assign another role before a host switches.
-  int64_t lists_for_role = 2;
+  int64_t lists_to_confirm_role = 2;
   // Longest interval between attempts to reconnect. It is short so that the
   // usage counts of the other side of a healed partition arrive before their
   // report is due.
@@ -140,10 +140,10 @@
   void WriteRecord();
   void Renew();
   void List();
-  void ListSoon();
-  void TakeList(const StoreReply& reply);
-  void KeepLinked(std::vector<FleetHost>& listed) const;
-  void TakeRole(FleetRole planned);
+  void ScheduleEarlyList();
+  void ApplyList(const StoreReply& reply);
+  void AddLinkedSchedulers(std::vector<FleetHost>& listed) const;
+  void ApplyPlannedRole(FleetRole planned);
   std::vector<FleetHost> PickLinks(const std::vector<FleetHost>& listed) const;
   void OpenLinks();
   PeerHandlers LinkHandlers();
@@ -152,7 +152,7 @@
   void NoteDraining(const HostId& host);
   void RefreshLinks();
   void OnMessage(const HostId& host, const PeerMessage& message);
-  void SetPatience();
+  void SetTimeouts();
   void SendDigest();
 
   FleetPeersOptions options;
@@ -164,13 +164,13 @@
   std::string secret;        // of the fleet; empty: not read yet
   std::unique_ptr<PeerLinks> links;
   FleetRole role = FleetRole::kUnknown;
-  int64_t lists_against_role = 0;
+  int64_t contrary_lists = 0;
   std::vector<FleetHost> schedulers;  // that this host should be linked with
   std::set<HostId> linked_schedulers;
   std::set<HostId> draining;       // linked hosts that are draining
   std::vector<FleetHost> planned;  // other schedulers by the last list
   Instant listed_at{};             // time of the last list
-  bool lists_soon = false;
+  bool early_list_scheduled = false;
   int64_t list_revision = -1;
   int64_t lease = 0;
   size_t listed = 1;
--- a/packages/relay/fleet_relay.cc
+++ b/packages/relay/fleet_relay.cc
@@ -18,7 +18,7 @@
 constexpr Duration kLogInterval = std::chrono::milliseconds(5);
 
 // Requests that were running at this many endpoint crashes are refused.
-constexpr int64_t kCondemnedAfter = 3;
+constexpr int64_t kBlockAfterCrashes = 3;
 
 // Errors that this program answers to callers. Each counter is exported from 0
 // on, since the first increase of a counter that appears later is not visible
@@ -32,7 +32,7 @@
 
 // Averaging time of the prefill rate. It is short so that a burst of two or
 // three seconds is visible at its full rate.
-constexpr Duration kReadingMemory = std::chrono::milliseconds(1500);
+constexpr Duration kPrefillRateWindow = std::chrono::milliseconds(1500);
 
 }  // namespace
 
@@ -57,7 +57,7 @@
       placement(this->settings.placement),
       cache_feed({}, this->pool, codec, this->placement),
       budget(this->settings.budget),
-      suspects({.condemned_after = kCondemnedAfter,
+      suspects({.block_after_crashes = kBlockAfterCrashes,
                 .memory = std::chrono::minutes(2)}),
       log_limiter(kLogBurst, kLogInterval) {
   for (const ErrorKind kind : kOwnErrors) {
@@ -91,7 +91,7 @@
   if (this->limit_gate != nullptr) {
     this->limit_gate->SetLimits(this->configuration->account_limits);
   }
-  this->ShareServices();
+  this->UpdateServiceParameters();
   LogInfo(
       kPart, "Configuration in force.",
       {{"version", std::to_string(this->configuration->version)},
@@ -115,7 +115,7 @@
   this->cache_feed.SetEndpoints(listed);
 }
 
-void FleetRelay::SetLimits(const WindowBudgetOptions& retries,
+void FleetRelay::SetLimits(const FleetRetryBudgetOptions& retries,
                            Duration proof_limit) {
   this->budget.SetOptions(retries);
   this->settings.key_proof_limit = proof_limit;
@@ -130,21 +130,21 @@
   }
   this->hosts = listed;
   this->budget.SetHosts(listed);
-  this->ShareServices();
+  this->UpdateServiceParameters();
 }
 
 // An endpoint resets connections beyond its maximum, and a request that was
 // reset may have run. So each host uses only its share of the maximum.
-void FleetRelay::ShareServices() {
+void FleetRelay::UpdateServiceParameters() {
   if (!this->configuration || this->hosts == 0) {
     return;
   }
   for (const auto& [id, service] : this->configuration->services) {
-    ServiceShare share;
+    ServiceParameters share;
     if (service.max_connections > 0) {
-      share.requests_at_once = std::max<int64_t>(
+      share.max_concurrent_requests = std::max<int64_t>(
           1, static_cast<int64_t>(static_cast<double>(service.max_connections) *
-                                  this->settings.connections_used /
+                                  this->settings.request_connection_share /
                                   static_cast<double>(this->hosts)));
     }
     if (service.engine && service.engine->cache_tokens > 0) {
@@ -153,12 +153,12 @@
     if (service.engine) {
       share.copied_tokens = service.engine->copied_tokens;
     }
-    share.pause_target = this->configuration->ShortestPause(id);
-    this->placement.SetServiceShare(id, share);
+    share.pause_target = this->configuration->ShortestGapTarget(id);
+    this->placement.SetServiceParameters(id, share);
   }
 }
 
-void FleetRelay::ProveFresh(Instant at) {
+void FleetRelay::ConfirmConfiguration(Instant at) {
   this->proven = std::max(this->proven, at);
 }
 
@@ -187,14 +187,14 @@
   return age && *age < this->settings.key_proof_limit;
 }
 
-void FleetRelay::NoteReading(const ServiceId& service, int64_t tokens) {
-  this->read_tokens.try_emplace(service, kReadingMemory)
+void FleetRelay::RecordPrefill(const ServiceId& service, int64_t tokens) {
+  this->prefill_rates.try_emplace(service, kPrefillRateWindow)
       .first->second.Add(this->clock->Now(), static_cast<double>(tokens));
 }
 
 std::map<ServiceId, double> FleetRelay::PrefillPerSecond() const {
   std::map<ServiceId, double> rates;
-  for (const auto& [service, rate] : this->read_tokens) {
+  for (const auto& [service, rate] : this->prefill_rates) {
     rates[service] = rate.PerSecond(this->clock->Now());
   }
   return rates;
@@ -221,7 +221,7 @@
   }
 }
 
-std::string FleetRelay::StoppingText() const {
+std::string FleetRelay::SinceStopText() const {
   return this->stop
              ? MillisecondsText(this->clock->Now() - this->stop->signalled)
              : "";
--- a/packages/relay/fleet_relay.h
+++ b/packages/relay/fleet_relay.h
@@ -26,9 +26,9 @@
 #include "decisions/answer_times.h"
 #include "decisions/decaying_rate.h"
 #include "decisions/fleet_placement.h"
+#include "decisions/fleet_retry_budget.h"
 #include "decisions/stop_schedule.h"
 #include "decisions/suspects.h"
-#include "decisions/window_budget.h"
 #include "kernel/log.h"
 #include "kernel/metrics.h"
 #include "limits/limit_gate.h"
@@ -44,23 +44,23 @@
 // Limits, timeouts and options of a relay.
 struct RelaySettings {
   PlacementOptions placement;
-  WindowBudgetOptions budget;
+  FleetRetryBudgetOptions budget;
   // The longest time since the configuration was confirmed to be the newest at
   // which API keys are accepted. After it a key may have been revoked.
   Duration key_proof_limit = std::chrono::milliseconds(4200);
   // Share of an endpoint's connections that all hosts together use for
   // requests. Cache events and the release of prompt handles need the rest.
-  double connections_used = 0.8;
+  double request_connection_share = 0.8;
   // Stall timeout for the first byte: the largest of `min_stall_timeout` and
   // this factor times the route's target latency and times the expected time.
   // An endpoint that exceeds it is considered hung, and a request that may run
   // again is sent to another one.
   double stall_factor = 2.5;
-  Duration stall_floor = std::chrono::milliseconds(1300);
+  Duration min_stall_timeout = std::chrono::milliseconds(1300);
   // The longest wait for the first byte that callers of streams accept.
-  Duration first_byte_patience = std::chrono::milliseconds(2000);
+  Duration max_stream_first_byte_wait = std::chrono::milliseconds(2000);
   // Prompts of at least this length may be prefilled by a separate engine.
-  int64_t split_from_tokens = 600;
+  int64_t min_split_prompt_tokens = 600;
 };
 
 // Callbacks to the owner of a relay.
@@ -92,7 +92,9 @@
 
   // Handler of requests of callers that are connected here, which may forward
   // them to a scheduler or call Serve. If null, all are served here.
-  void SetForward(CallerHandler handler) { this->forward = std::move(handler); }
+  void SetCallerHandler(CallerHandler handler) {
+    this->forward = std::move(handler);
+  }
 
   // The gate that enforces the limits of client accounts; null: no limits.
   void SetLimitGate(LimitGate* gate) { this->limit_gate = gate; }
@@ -113,14 +115,14 @@
   CacheFeed& Caches() { return this->cache_feed; }
 
   // Reassigns the engines to follow, after a change of the list of hosts.
-  void RefreshCaches() { this->cache_feed.SetEndpoints(this->endpoints); }
+  void ReassignCacheFeeds() { this->cache_feed.SetEndpoints(this->endpoints); }
 
   // Sets the number of listed hosts, which share the retry budget and the
   // endpoints' connections.
   void SetHosts(int64_t listed);
 
   // Records that the configuration in force was the newest at that time.
-  void ProveFresh(Instant at);
+  void ConfirmConfiguration(Instant at);
 
   // Stops serving until the configuration has been confirmed and the endpoints
   // have been listed again.
@@ -129,7 +131,7 @@
   // Changes the retry budget and RelaySettings::key_proof_limit. The options of
   // placement take effect only at a start of the process, since placement keeps
   // its measurements.
-  void SetLimits(const WindowBudgetOptions& retries, Duration proof_limit);
+  void SetLimits(const FleetRetryBudgetOptions& retries, Duration proof_limit);
 
   // From now on each answer closes its connection. A request that can't be
   // finished in time is refused as not run; one that is unfinished at the end
@@ -178,7 +180,7 @@
 
   FleetPlacement& Placement() { return this->placement; }
   Suspects& SuspectList() { return this->suspects; }
-  WindowBudget& Budget() { return this->budget; }
+  FleetRetryBudget& Budget() { return this->budget; }
 
  private:
   friend class RelayedRequest;
@@ -188,13 +190,13 @@
   bool Refreshed() const;
 
   // Passes this host's limits for each service to placement.
-  void ShareServices();
+  void UpdateServiceParameters();
 
   // Counts uncached prompt tokens that were sent for prefill.
-  void NoteReading(const ServiceId& service, int64_t tokens);
+  void RecordPrefill(const ServiceId& service, int64_t tokens);
 
   // Milliseconds since the stop signal, for logs; empty before it.
-  std::string StoppingText() const;
+  std::string SinceStopText() const;
 
   // Logs a decision about a request, with a rate limit on lines.
   void Log(LogLevel level,
@@ -212,7 +214,7 @@
   EndpointPool pool;
   FleetPlacement placement;
   CacheFeed cache_feed;
-  WindowBudget budget;
+  FleetRetryBudget budget;
   LimitGate* limit_gate = nullptr;
   Suspects suspects;
   LogLimiter log_limiter;
@@ -225,7 +227,7 @@
   std::optional<StopSchedule> stop;
   AnswerTimes answer_times;  // from the request's arrival to the answer's end
   AnswerTimes run_times;     // from the send of the run to the answer's end
-  std::map<ServiceId, DecayingRate> read_tokens;
+  std::map<ServiceId, DecayingRate> prefill_rates;
   std::set<std::shared_ptr<RelayedRequest>> requests;
 };
 
--- a/packages/relay/fleet_source.cc
+++ b/packages/relay/fleet_source.cc
@@ -15,7 +15,7 @@
 
 // Maximum number of pending questions to other hosts. At two questions a
 // second, an answer to an older one would be too old to prove freshness.
-constexpr size_t kQuestionsKept = 16;
+constexpr size_t kMaxQuestions = 16;
 
 }  // namespace
 
@@ -33,7 +33,7 @@
 void FleetSource::Start() {
   this->started_at = this->clock->Now();
   this->proven = {};
-  this->last_list.reset();
+  this->last_listed_at.reset();
   this->grace_until = {};
   this->listed.clear();
   this->endpoints.clear();
@@ -45,10 +45,10 @@
 void FleetSource::Tick() {
   const Instant now = this->clock->Now();
   if (this->ShouldPoll(this->configuration, now)) {
-    this->AskConfiguration(now);
+    this->PollConfiguration(now);
   }
   if (this->ShouldPoll(this->list, now)) {
-    this->AskEndpoints(now);
+    this->PollEndpoints(now);
   }
   if (this->grace_until != Instant{} && now >= this->grace_until) {
     this->grace_until = {};
@@ -60,14 +60,14 @@
   }
 }
 
-bool FleetSource::ShouldPoll(const Polling& polling, Instant now) const {
+bool FleetSource::ShouldPoll(const PollState& polling, Instant now) const {
   const bool receiving =
       polling.under_way > 0 && now - polling.last_progress < this->options.poll;
   return now >= polling.next && !receiving &&
-         polling.under_way < this->options.most_under_way;
+         polling.under_way < this->options.max_pending_reads;
 }
 
-void FleetSource::Read(Polling& polling,
+void FleetSource::Read(PollState& polling,
                        const StoreTransaction& transaction,
                        std::function<void(StoreReply)> on_reply) {
   ++polling.under_way;
@@ -84,7 +84,7 @@
 void FleetSource::AskPeers(Instant now) {
   this->next_question = now + this->options.ask_peers_every;
   this->questions[++this->last_question] = now;
-  if (this->questions.size() > kQuestionsKept) {
+  if (this->questions.size() > kMaxQuestions) {
     this->questions.erase(this->questions.begin());
   }
   this->handlers.ask_peers(
@@ -106,16 +106,16 @@
 // The other host created its answer after this host sent the question, so its
 // record was still the newest at `age` before the time of sending, or later,
 // regardless of network delay. This never compares clocks of two hosts.
-void FleetSource::TakeAnswer(const FreshnessAnswer& answer) {
+void FleetSource::OnFreshnessAnswer(const FreshnessAnswer& answer) {
   const auto asked = this->questions.find(answer.number);
   if (asked == this->questions.end()) {
     return;
   }
   if (answer.revision >= this->record_revision) {
-    this->NoteProof(true, answer.age);
+    this->RecordProofSource(true, answer.age);
   }
-  this->TakeConfiguration(asked->second - answer.age, answer.revision,
-                          answer.record);
+  this->ApplyConfigurationRecord(asked->second - answer.age, answer.revision,
+                                 answer.record);
 }
 
 void FleetSource::PollConfigurationNow(int64_t version) {
@@ -126,7 +126,7 @@
   }
 }
 
-void FleetSource::LearnLeaving(const EndpointRun& run) {
+void FleetSource::MarkLeaving(const EndpointRun& run) {
   this->leaving.insert(run);
   const auto found = this->endpoints.find(run.id);
   if (found != this->endpoints.end() && found->second.run == run &&
@@ -136,9 +136,9 @@
   }
 }
 
-void FleetSource::AskConfiguration(Instant now) {
+void FleetSource::PollConfiguration(Instant now) {
   this->configuration.next =
-      now + (this->record_revision == 0 ? this->options.first_poll
+      now + (this->record_revision == 0 ? this->options.first_poll_period
                                         : this->options.poll);
   const int64_t known_revision = this->record_revision;
   this->Read(this->configuration, this->ReadIfNewer(known_revision),
@@ -148,15 +148,16 @@
                const bool answered = unchanged ||
                                      reply.outcome == StoreOutcome::kThen ||
                                      reply.outcome == StoreOutcome::kOtherwise;
-               this->NoteReachable(answered);
+               this->RecordReachability(answered);
                if (unchanged) {
-                 this->NoteProof(false, this->clock->Now() - now);
-                 this->TakeConfiguration(now, known_revision, "");
+                 this->RecordProofSource(false, this->clock->Now() - now);
+                 this->ApplyConfigurationRecord(now, known_revision, "");
                } else if (answered && !reply.records.empty()) {
                  // No record means that none has been written yet.
                  const StoreRecord& read = reply.records.front();
-                 this->NoteProof(false, this->clock->Now() - now);
-                 this->TakeConfiguration(now, read.mod_revision, read.value);
+                 this->RecordProofSource(false, this->clock->Now() - now);
+                 this->ApplyConfigurationRecord(now, read.mod_revision,
+                                                read.value);
                }
              });
 }
@@ -175,9 +176,9 @@
 
 // Applies a record that was the newest at `asked`. `value` is needed only if
 // `revision` is above the known one.
-void FleetSource::TakeConfiguration(Instant asked,
-                                    int64_t revision,
-                                    const std::string& value) {
+void FleetSource::ApplyConfigurationRecord(Instant asked,
+                                           int64_t revision,
+                                           const std::string& value) {
   if (revision < this->record_revision) {
     return;  // replies may arrive out of order
   }
@@ -197,11 +198,11 @@
     this->handlers.on_configuration(
         std::make_shared<const FleetConfiguration>(std::move(*parsed)));
   }
-  if (asked - previous_proof > this->options.away_after) {
-    this->proof_regained = this->clock->Now();
+  if (asked - previous_proof > this->options.outage_after) {
+    this->proof_regained_at = this->clock->Now();
   }
   this->proven = std::max(this->proven, asked);
-  this->handlers.on_fresh(this->proven);
+  this->handlers.on_freshness_proof(this->proven);
 }
 
 // The size, age and pending polls distinguish a slow store from a record that
@@ -219,40 +220,42 @@
            {"source", this->proven_by_peer ? "another host" : "the store"}});
 }
 
-void FleetSource::AskEndpoints(Instant now) {
+void FleetSource::PollEndpoints(Instant now) {
   this->list.next =
-      now + (this->last_list ? this->options.poll : this->options.first_poll);
+      now + (this->last_listed_at ? this->options.poll
+                                  : this->options.first_poll_period);
   this->Read(this->list,
              {.then = {{.kind = StoreOperation::Kind::kGetPrefix,
                         .key = this->records->EndpointPrefix()}}},
              [this, now](const StoreReply& reply) {
                if (reply.outcome == StoreOutcome::kThen) {
-                 this->TakeEndpoints(now, reply);
+                 this->ApplyEndpointList(now, reply);
                }
              });
 }
 
-void FleetSource::TakeEndpoints(Instant asked, const StoreReply& reply) {
+void FleetSource::ApplyEndpointList(Instant asked, const StoreReply& reply) {
   if (reply.revision < this->list.revision || asked < this->started_at) {
     return;  // out of order, or requested before Start()
   }
   this->list.revision = reply.revision;
   const Instant now = this->clock->Now();
-  if (this->last_list && asked - *this->last_list > this->options.away_after &&
-      this->StoreWasAway(now)) {
-    this->grace_until = now + this->options.return_grace;
-    this->listed_since.clear();
+  if (this->last_listed_at &&
+      asked - *this->last_listed_at > this->options.outage_after &&
+      this->StoreWasDown(now)) {
+    this->grace_until = now + this->options.outage_grace;
+    this->listed_in_grace.clear();
     LogInfo(kPart, "Endpoint list read again after a store outage.",
             {{"known", std::to_string(this->endpoints.size())},
              {"listed", std::to_string(reply.records.size())}});
   }
-  this->last_list = now;
+  this->last_listed_at = now;
   this->listed.clear();
   for (const StoreRecord& record : reply.records) {
     auto parsed = this->records->ReadEndpoint(record);
     if (parsed) {
       if (now < this->grace_until) {
-        this->listed_since.insert(parsed->run.id);
+        this->listed_in_grace.insert(parsed->run.id);
       }
       this->listed[parsed->run.id] = std::move(*parsed);
     } else {
@@ -266,9 +269,9 @@
 // Whether the store didn't answer the other hosts either. If their proofs show
 // that it did, no entry expired because of an outage, and endpoints that are
 // missing from the list have left.
-bool FleetSource::StoreWasAway(Instant now) const {
-  return now - this->proven > this->options.away_after ||
-         now - this->proof_regained < this->options.return_grace;
+bool FleetSource::StoreWasDown(Instant now) const {
+  return now - this->proven > this->options.outage_after ||
+         now - this->proof_regained_at < this->options.outage_grace;
 }
 
 void FleetSource::PublishEndpoints(Instant now) {
@@ -298,7 +301,7 @@
   // work sent to it would be cut off.
   if (now < this->grace_until) {
     for (const auto& [id, endpoint] : this->endpoints) {
-      if (!this->listed_since.contains(id)) {
+      if (!this->listed_in_grace.contains(id)) {
         visible.try_emplace(id, endpoint);
       }
     }
@@ -306,7 +309,7 @@
   return visible;
 }
 
-void FleetSource::NoteProof(bool by_peer, Duration age) {
+void FleetSource::RecordProofSource(bool by_peer, Duration age) {
   if (std::exchange(this->proven_by_peer, by_peer) != by_peer) {
     LogInfo(kPart, "Configuration freshness is proven by another source.",
             {{"source", by_peer ? "another host" : "the store"},
@@ -315,7 +318,7 @@
   }
 }
 
-void FleetSource::NoteReachable(bool now_reachable) {
+void FleetSource::RecordReachability(bool now_reachable) {
   if (std::exchange(this->reachable, now_reachable) != now_reachable) {
     if (now_reachable) {
       this->list.next = {};  // a leaving endpoint may have been missed
--- a/packages/relay/fleet_source.h
+++ b/packages/relay/fleet_source.h
@@ -32,17 +32,17 @@
   // or a leaving endpoint is seen; the tightest bound on these delays is 2 s.
   Duration poll = std::chrono::milliseconds(1000);
   // Period until the first reply; shorter, as nothing is served before it.
-  Duration first_poll = std::chrono::milliseconds(250);
+  Duration first_poll_period = std::chrono::milliseconds(250);
   // Maximum concurrent reads of one kind. While the service is slow, the next
   // read is sent before the last reply has arrived, but not while a reply is
   // being received, as both would share the link.
-  int64_t most_under_way = 3;
+  int64_t max_pending_reads = 3;
   // After an outage of the service, endpoints keep being used for this long
   // although their entries expired, so that heartbeats can restore the entries.
   // Endpoints that are still missing then are removed.
-  Duration return_grace = std::chrono::milliseconds(2200);
+  Duration outage_grace = std::chrono::milliseconds(2200);
   // A gap between replies above this counts as an outage of the service.
-  Duration away_after = std::chrono::milliseconds(1900);
+  Duration outage_after = std::chrono::milliseconds(1900);
   // If this host's freshness proof is older than ask_peers_after, it asks other
   // hosts for theirs, every ask_peers_every.
   Duration ask_peers_after = std::chrono::milliseconds(2000);
@@ -55,7 +55,7 @@
   std::function<void(const FleetEndpoints&)> on_endpoints;
   // The last configuration passed to on_configuration was still the newest at
   // that time.
-  std::function<void(Instant)> on_fresh;
+  std::function<void(Instant)> on_freshness_proof;
   // Sends a question to other hosts, which may have a newer freshness proof.
   std::function<void(const FreshnessQuestion&)> ask_peers;
   // The endpoint list newly shows that this run is leaving.
@@ -88,40 +88,40 @@
 
   // Handles another host's answer: equivalent to a reply of the store, dated by
   // when this host sent the question.
-  void TakeAnswer(const FreshnessAnswer& answer);
+  void OnFreshnessAnswer(const FreshnessAnswer& answer);
 
   // Reads a newer configuration version that another host has reported, without
   // waiting for the next poll. Further reports of that version are ignored.
   void PollConfigurationNow(int64_t version);
 
   // Another host has read from the store that a run is leaving.
-  void LearnLeaving(const EndpointRun& run);
+  void MarkLeaving(const EndpointRun& run);
 
  private:
-  struct Polling;
+  struct PollState;
 
   void Tick();
-  bool ShouldPoll(const Polling& polling, Instant now) const;
-  void Read(Polling& polling,
+  bool ShouldPoll(const PollState& polling, Instant now) const;
+  void Read(PollState& polling,
             const StoreTransaction& transaction,
             std::function<void(StoreReply)> on_reply);
-  void AskConfiguration(Instant now);
+  void PollConfiguration(Instant now);
   StoreTransaction ReadIfNewer(int64_t known_revision) const;
-  void AskEndpoints(Instant now);
+  void PollEndpoints(Instant now);
   void AskPeers(Instant now);
-  void TakeConfiguration(Instant asked,
-                         int64_t revision,
-                         const std::string& value);
-  void TakeEndpoints(Instant asked, const StoreReply& reply);
+  void ApplyConfigurationRecord(Instant asked,
+                                int64_t revision,
+                                const std::string& value);
+  void ApplyEndpointList(Instant asked, const StoreReply& reply);
   void LogConfigurationRead(Instant asked, size_t bytes, int64_t version) const;
-  void NoteReachable(bool now_reachable);
-  void NoteProof(bool by_peer, Duration age);
-  bool StoreWasAway(Instant now) const;
+  void RecordReachability(bool now_reachable);
+  void RecordProofSource(bool by_peer, Duration age);
+  bool StoreWasDown(Instant now) const;
   FleetEndpoints VisibleEndpoints(Instant now);
   void PublishEndpoints(Instant now);
 
   // State of one kind of read.
-  struct Polling {
+  struct PollState {
     Instant next{};
     int64_t under_way = 0;
     int64_t revision = -1;    // of the newest reply that was applied
@@ -133,22 +133,22 @@
   KeyValueStore* store;
   const FleetRecords* records;
   FleetSourceHandlers handlers;
-  Polling configuration;
-  Polling list;
+  PollState configuration;
+  PollState list;
   int64_t record_revision = 0;  // of the configuration record last read
   std::string record;           // as stored, for hosts with an older one
   int64_t newest_reported_version = 0;  // by other hosts
-  Instant proven{};          // when that record was last known to be the newest
-  Instant proof_regained{};  // when proofs resumed after a gap on all hosts
+  Instant proven{};  // when that record was last known to be the newest
+  Instant proof_regained_at{};  // when proofs resumed after a gap on all hosts
   int64_t last_question = 0;
   std::map<int64_t, Instant> questions;  // to peers: time sent, by number
   Instant next_question{};
   Instant started_at{};
   bool proven_by_peer = false;  // whether the last proof came from a peer
-  std::optional<Instant> last_list;
+  std::optional<Instant> last_listed_at;
   Instant grace_until{};
-  FleetEndpoints listed;              // as last read
-  std::set<EndpointId> listed_since;  // listed during the grace period
+  FleetEndpoints listed;                 // as last read
+  std::set<EndpointId> listed_in_grace;  // listed during the grace period
   FleetEndpoints endpoints;
   bool endpoints_published = false;  // since Start()
   std::set<EndpointRun> leaving;  // runs that announced it, or were ordered to
--- a/packages/relay/forward_receiver.cc
+++ b/packages/relay/forward_receiver.cc
@@ -60,12 +60,12 @@
   void SetPaused(bool to) {
     this->paused = to;
     if (!to) {
-      this->TellDrained();
+      this->NotifyDrained();
     }
   }
 
   // The caller disconnected, or the link to the ingress host broke.
-  void OnCancelled() { this->TellGone(); }
+  void OnCancelled() { this->NotifyGone(); }
 
  private:
   void Flush(AnswerEnd end) {
--- a/packages/relay/message_codec.h
+++ b/packages/relay/message_codec.h
@@ -93,13 +93,13 @@
 };
 
 // The changes of an engine's cache since a sequence number that it returned.
-struct CacheNews {
+struct CacheChanges {
   std::string epoch;  // changes when the engine restarts
   int64_t next = 0;   // sequence number for the next call
   bool lost = false;  // older changes are missing
   std::vector<CacheChange> changes;
 
-  bool operator==(const CacheNews&) const = default;
+  bool operator==(const CacheChanges&) const = default;
 };
 
 // Reads and writes the messages of one wire format. Functions that return a
@@ -133,15 +133,16 @@
 
   // Head of a long-poll request for the changes of an engine's cache, up to the
   // empty line, and the reader of its answer.
-  virtual std::string CacheNewsCall(const SocketAddress& engine,
-                                    int64_t since,
-                                    Duration wait) const = 0;
-  virtual Result<CacheNews> ReadCacheNews(std::string_view body) const = 0;
+  virtual std::string CacheChangesCall(const SocketAddress& engine,
+                                       int64_t since,
+                                       Duration wait) const = 0;
+  virtual Result<CacheChanges> ReadCacheChanges(
+      std::string_view body) const = 0;
 
   // Head of a request for an engine's whole cache, up to the empty line, and
   // the reader of its answer.
   virtual std::string CacheListCall(const SocketAddress& engine) const = 0;
-  virtual Result<CacheNews> ReadCacheList(std::string_view body) const = 0;
+  virtual Result<CacheChanges> ReadCacheList(std::string_view body) const = 0;
 
   // The target of the DELETE request that frees a prompt handle.
   virtual std::string DropHandleTarget(const std::string& handle) const = 0;
--- a/packages/relay/part_hash.h
+++ b/packages/relay/part_hash.h
@@ -9,7 +9,7 @@
 
 namespace hickorystand {
 
-inline uint64_t HashOfPart(std::string_view id) {
+inline uint64_t PromptPartHash(std::string_view id) {
   return XXH3_64bits(id.data(), id.size());
 }
 
--- a/packages/relay/relayed_answer.cc
+++ b/packages/relay/relayed_answer.cc
@@ -11,14 +11,14 @@
 // An answer up to this size is buffered until it is complete, so that the
 // request can be sent again if the answer breaks. Longer answers are forwarded
 // as they arrive.
-constexpr size_t kHeldAnswer = size_t{256} << 10;
+constexpr size_t kMaxBufferedAnswerBytes = size_t{256} << 10;
 
 // Flow control: with more bytes unread by a slow caller, reading from the
 // endpoint pauses.
 constexpr size_t kUnsentLimit = size_t{256} << 10;
 
 // Status of an endpoint that was called as another process or in another role.
-constexpr int kMisdirected = 421;
+constexpr int kWrongProcessOrRole = 421;
 
 }  // namespace
 
@@ -47,21 +47,22 @@
     this->PassOn(this->cutter.Feed(bytes));
     return;
   }
-  if (current.passing) {
+  if (current.forwarding_body) {
     this->caller->Send(bytes);
     return;
   }
   current.body += bytes;
-  if (current.body.size() <= kHeldAnswer) {
+  if (current.body.size() <= kMaxBufferedAnswerBytes) {
     return;
   }
   if (!good) {
-    current.body.resize(kHeldAnswer);  // never forwarded, so it may be cut
+    current.body.resize(
+        kMaxBufferedAnswerBytes);  // never forwarded, so it may be cut
     return;
   }
-  current.passing = true;
+  current.forwarding_body = true;
   this->stall_timer.reset();
-  this->NoteBegun();
+  this->MarkBegun();
   this->StartAnswer({});
   this->caller->Send(current.body);
   current.body.clear();
@@ -71,9 +72,9 @@
   if (events.empty()) {
     return;
   }
-  this->NoteFirstByte();
-  this->NoteEvent();
-  this->NoteBegun();
+  this->RecordFirstByte();
+  this->RecordEvent();
+  this->MarkBegun();
   if (!this->caller->Started()) {
     this->StartAnswer({});
   }
@@ -88,7 +89,7 @@
   }
 }
 
-void RelayedRequest::NoteFirstByte() {
+void RelayedRequest::RecordFirstByte() {
   Attempt& current = *this->attempt;
   if (current.first_byte_at) {
     return;
@@ -96,7 +97,7 @@
   this->stall_timer.reset();
   const Instant now = this->relay->clock->Now();
   current.first_byte_at = now;
-  this->relay->placement.OnPromptRead(now, current.work);
+  this->relay->placement.OnPrefillDone(now, current.work);
   this->relay->metrics->Observe("first_byte_seconds",
                                 ToSeconds(now - this->arrived),
                                 {{"service", this->service.Text()}});
@@ -104,7 +105,7 @@
 
 // Records the latency that a caller of a stream sees: its first event and its
 // longest pause between events.
-void RelayedRequest::NoteEvent() {
+void RelayedRequest::RecordEvent() {
   const Instant now = this->relay->clock->Now();
   if (this->first_event) {
     const Duration pause = now - this->last_event;
@@ -116,7 +117,7 @@
   this->last_event = now;
 }
 
-void RelayedRequest::NoteBegun() {
+void RelayedRequest::MarkBegun() {
   if (!std::exchange(this->begun, true) && !this->account.Empty()) {
     this->relay->hooks.on_begun(this->account);
   }
@@ -139,13 +140,13 @@
     this->OnRead(end);
     return;
   }
-  const Fate fate = this->JudgeEnd(end);
+  const RunResult fate = this->JudgeEnd(end);
   const Instant now = this->relay->clock->Now();
   Attempt& current = *this->attempt;
   this->relay->placement.OnEnded(now, current.work);
-  this->NoteOutcome(current, fate == Fate::kDone);
+  this->RecordOutcome(current, fate == RunResult::kDone);
   this->handle.clear();
-  if (fate == Fate::kDone) {
+  if (fate == RunResult::kDone) {
     this->relay->suspects.OnAnswered(this->fingerprint);
     if (current.status / 100 == 2) {
       const AnswerKind kind = this->Kind();
@@ -155,29 +156,30 @@
     this->Over(std::to_string(current.status));
     return;
   }
-  if (fate == Fate::kMayHaveRun && end == HttpEnd::kReset) {
+  if (fate == RunResult::kMayHaveRun && end == HttpEnd::kReset) {
     this->relay->suspects.OnCrash(now, current.endpoint.zone,
                                   {this->fingerprint});
   }
-  this->AfterFailure(fate, fate == Fate::kNotRun ? "not run at the endpoint"
-                                                 : "broken at the endpoint");
+  this->AfterFailure(fate, fate == RunResult::kNotRun
+                               ? "not run at the endpoint"
+                               : "broken at the endpoint");
 }
 
-RelayedRequest::Fate RelayedRequest::JudgeEnd(HttpEnd end) {
+RelayedRequest::RunResult RelayedRequest::JudgeEnd(HttpEnd end) {
   if (end == HttpEnd::kNotSent) {
-    return Fate::kNotRun;
+    return RunResult::kNotRun;
   }
   if (end != HttpEnd::kWhole) {
-    return Fate::kMayHaveRun;
+    return RunResult::kMayHaveRun;
   }
   return this->JudgeWhole();
 }
 
 // Classifies a complete answer, and forwards it if it is valid.
-RelayedRequest::Fate RelayedRequest::JudgeWhole() {
+RelayedRequest::RunResult RelayedRequest::JudgeWhole() {
   Attempt& current = *this->attempt;
   if (current.answer.not_run) {
-    return Fate::kNotRun;
+    return RunResult::kNotRun;
   }
   const bool ours =
       current.answer.sealed && !current.answer.encoded && !current.foreign;
@@ -187,45 +189,45 @@
   // A status that promises "not run" may be forwarded only if the endpoint
   // states that nothing ran.
   if (!ours || promise) {
-    return Fate::kMayHaveRun;
+    return RunResult::kMayHaveRun;
   }
   if (this->StreamBegun()) {
     if (current.status / 100 != 2) {
-      return Fate::kMayHaveRun;  // the stream's status is already sent
+      return RunResult::kMayHaveRun;  // the stream's status is already sent
     }
     if (!this->caller->Started()) {
       this->StartAnswer({});
     }
-    if (this->cutter.HoldsRest()) {
-      this->caller->Send(this->cutter.TakeRest());
+    if (this->cutter.HasPartialEvent()) {
+      this->caller->Send(this->cutter.TakePartialEvent());
     }
     this->caller->Finish();
-    return Fate::kDone;
+    return RunResult::kDone;
   }
-  if (current.status / 100 == 5 && MayRunAgain(this->route->kind) &&
+  if (current.status / 100 == 5 && IsRepeatable(this->route->kind) &&
       this->MaySendAgain()) {
     // AfterFailure sends the retry and must not charge the budget again.
-    this->NoteBegun();
+    this->MarkBegun();
     this->retry_charged = true;
-    return Fate::kMayHaveRun;
+    return RunResult::kMayHaveRun;
   }
-  this->NoteBegun();
-  const std::string rest = this->cutter.TakeRest();
+  this->MarkBegun();
+  const std::string rest = this->cutter.TakePartialEvent();
   const std::string& whole = rest.empty() ? current.body : rest;
   this->StartAnswer(whole.size());
   this->caller->Send(whole);
   this->caller->Finish();
   if (!this->shape.engine) {
-    this->relay->placement.OnPlainTime(
+    this->relay->placement.OnPlainCallTime(
         this->service, this->relay->clock->Now() - current.sent);
   }
-  return Fate::kDone;
+  return RunResult::kDone;
 }
 
 // Reports an attempt's outcome to the placement.
-void RelayedRequest::NoteOutcome(const Attempt& ended, bool good) {
+void RelayedRequest::RecordOutcome(const Attempt& ended, bool good) {
   const Instant now = this->relay->clock->Now();
-  if (ended.status == kMisdirected) {
+  if (ended.status == kWrongProcessOrRole) {
     this->relay->placement.OnWrongRole(now, ended.endpoint.run.id);
   } else {
     this->relay->placement.OnOutcome(now, ended.endpoint.run.id, good);
@@ -239,17 +241,17 @@
   this->attempt.reset();
   const bool whole = end == HttpEnd::kWhole && ended.status == 200;
   if (whole) {
-    this->relay->placement.OnPromptRead(now, ended.work);
+    this->relay->placement.OnPrefillDone(now, ended.work);
   }
   this->relay->placement.OnEnded(now, ended.work);
   auto read = whole ? this->relay->codec->ReadPromptHandle(ended.body)
                     : Result<PromptHandle>(Fail(ErrorKind::kEndpointFailed,
                                                 "the prompt was not read"));
   this->prompt_accepted = this->prompt_accepted || !ended.answer.not_run;
-  this->NoteOutcome(ended, read.has_value());
+  this->RecordOutcome(ended, read.has_value());
   if (read) {
     this->handle = read->handle;
-    this->handle_at = ended.endpoint.address;
+    this->handle_address = ended.endpoint.address;
     this->OnPromptHandle(*read, ended.endpoint.run.id);
     return;
   }
@@ -260,9 +262,9 @@
   // The request itself has not run, whether or not the prompt was prefilled.
   // The failed call counts as an arrival; a successful one does not.
   this->tried.insert(ended.endpoint.run.id);
-  if (++this->arrivals > 1 || !this->WorthSending() ||
+  if (++this->arrivals > 1 || !this->HasTimeToSend() ||
       !this->relay->budget.Take(now, this->service)) {
-    this->AfterFailure(Fate::kNotRun, "the prompt was not read");
+    this->AfterFailure(RunResult::kNotRun, "the prompt was not read");
     return;
   }
   // Placed again, and refused if it can't be answered in time any more. A
@@ -277,14 +279,15 @@
   const auto answers = this->relay->placement.PlaceAnswer(
       this->relay->clock->Now(), this->shape, reader, this->tried);
   if (!answers) {
-    this->DropHandle();
-    this->FailWithoutSending(ErrorKind::kNoEndpoint, "no endpoint",
-                             this->relay->settings.placement.eject_for);
+    this->ReleaseHandle();
+    this->EndWithoutSending(ErrorKind::kNoEndpoint, "no endpoint",
+                            this->relay->settings.placement.min_ejection);
     return;
   }
   this->SendRun({.endpoint = *answers},
-                this->handle_at.host + ":" +
-                    std::to_string(this->handle_at.port) + "/" + read.handle);
+                this->handle_address.host + ":" +
+                    std::to_string(this->handle_address.port) + "/" +
+                    read.handle);
 }
 
 }  // namespace hickorystand
--- a/packages/relay/relayed_request.cc
+++ b/packages/relay/relayed_request.cc
@@ -12,19 +12,19 @@
 namespace {
 
 // With less time left than this, a send could not be answered in time.
-constexpr Duration kLeastLeft = std::chrono::milliseconds(60);
+constexpr Duration kMinTimeToSend = std::chrono::milliseconds(60);
 
 // The endpoint's deadline is this much before the caller's, which leaves time
 // for the answer's way back.
-constexpr Duration kWayBack = std::chrono::milliseconds(5);
+constexpr Duration kEndpointDeadlineMargin = std::chrono::milliseconds(5);
 
 // Retry-After while the configuration may be outdated: the store confirms it
 // again within a second.
-constexpr Duration kProofReturn = std::chrono::milliseconds(700);
+constexpr Duration kStaleKeysRetryAfter = std::chrono::milliseconds(700);
 
 // Callers retry within a third of the time they have left, or not at all.
-constexpr double kReturnShare = 0.33;
-constexpr Duration kLeastReturn = std::chrono::milliseconds(100);
+constexpr double kMaxRetryAfterShare = 0.33;
+constexpr Duration kMinRetryAfter = std::chrono::milliseconds(100);
 
 uint64_t Hash(std::string_view text, uint64_t seed = 0) {
   return XXH3_64bits_withSeed(text.data(), text.size(), seed);
@@ -45,7 +45,7 @@
 
 void RelayedRequest::Begin() {
   this->arrived = this->relay->clock->Now() - this->origin.age;
-  this->caller->OnGone([this] { this->OnCallerGone(); });
+  this->caller->OnGone([this] { this->OnCallerDisconnected(); });
   if (const auto error = this->Admit()) {
     if (this->StreamBegun()) {
       this->BreakOff(error->message);
@@ -62,9 +62,9 @@
     return;
   }
   this->relay->budget.OnRequest(this->arrived, this->service);
-  if (this->relay->suspects.IsCondemned(this->arrived, this->fingerprint)) {
+  if (this->relay->suspects.IsBlocked(this->arrived, this->fingerprint)) {
     this->RefuseNotRun("endpoints crash when they run it",
-                       this->relay->settings.placement.eject_at_most);
+                       this->relay->settings.placement.max_ejection);
     return;
   }
   this->Place();
@@ -81,7 +81,7 @@
   if (this->origin.resume_after) {
     this->cutter.ResumeAfter(*this->origin.resume_after);
   }
-  this->AfterFailure(Fate::kMayHaveRun, "the scheduler was lost");
+  this->AfterFailure(RunResult::kMayHaveRun, "the scheduler was lost");
 }
 
 std::optional<Error> RelayedRequest::Admit() {
@@ -128,11 +128,11 @@
                  .patience = timeout};
   if (IsStream(this->route->kind)) {
     this->shape.patience =
-        std::min(timeout, this->relay->settings.first_byte_patience);
+        std::min(timeout, this->relay->settings.max_stream_first_byte_wait);
   }
   for (const PromptPart& part : this->request.parts) {
     this->shape.parts.push_back(
-        {.part = HashOfPart(part.id), .tokens = part.tokens});
+        {.part = PromptPartHash(part.id), .tokens = part.tokens});
   }
   this->body = std::make_shared<const std::string>(message.body);
   this->fingerprint =
@@ -155,18 +155,18 @@
   if (this->origin.earlier_sends > 0) {
     return {};
   }
-  if (stop && !stop->MayTake(now, this->Need(Step::kArrival))) {
+  if (stop && !stop->MayAccept(now, this->Need(Step::kArrival))) {
     this->caller->Decline();
     return Error{ErrorKind::kShuttingDown, "this host stops", Duration{}};
   }
   if (!this->CanStillFinish(Step::kArrival)) {
-    return Error{ErrorKind::kShuttingDown, std::string(this->StopReason()),
+    return Error{ErrorKind::kShuttingDown, std::string(this->StopReasonText()),
                  Duration{}};
   }
   return {};
 }
 
-std::string_view RelayedRequest::StopReason() const {
+std::string_view RelayedRequest::StopReasonText() const {
   return this->origin.host.Empty() ? "this host stops"
                                    : "the ingress host stops";
 }
@@ -175,11 +175,11 @@
   return AnswerKind::Of(this->route->name, this->request.output_tokens);
 }
 
-AnswerNeed RelayedRequest::Need(Step step) const {
+AnswerDuration RelayedRequest::Need(Step step) const {
   const AnswerTimes& times =
       step == Step::kRun ? this->relay->run_times : this->relay->answer_times;
   return {.limit = this->Left(),
-          .expected = times.Longest(this->relay->clock->Now(), this->Kind())};
+          .expected = times.P95(this->relay->clock->Now(), this->Kind())};
 }
 
 bool RelayedRequest::CanStillFinish(Step step) const {
@@ -213,7 +213,7 @@
   if (!this->relay->KeysProven()) {
     return Error{ErrorKind::kPlatformDown,
                  "the configuration may be outdated, so no key can be trusted",
-                 kProofReturn};
+                 kStaleKeysRetryAfter};
   }
   if (holder == nullptr) {
     return Error{ErrorKind::kBadKey, "unknown key", {}};
@@ -237,8 +237,8 @@
   return this->deadline - this->relay->clock->Now();
 }
 
-bool RelayedRequest::WorthSending() const {
-  return this->Left() > kLeastLeft;
+bool RelayedRequest::HasTimeToSend() const {
+  return this->Left() > kMinTimeToSend;
 }
 
 // Takes the next run's tokens from the account's limit. Returns false if they
@@ -256,7 +256,7 @@
         }
       });
   if (!verdict) {
-    this->tokens_asked = true;
+    this->tokens_pending = true;
     return false;
   }
   this->tokens_held = verdict->granted;
@@ -267,7 +267,7 @@
 }
 
 void RelayedRequest::OnTokens(const LimitVerdict& verdict) {
-  this->tokens_asked = false;
+  this->tokens_pending = false;
   this->tokens_held = verdict.granted;
   if (verdict.granted) {
     this->PlaceWithTokens();
@@ -294,13 +294,13 @@
        {"holders_revision", std::to_string(gate.Revision())},
        {"configuration", std::to_string(this->configuration->version)},
        {"retry_after_ms", MillisecondsText(verdict.retry_after)}});
-  this->FailWithoutSending(ErrorKind::kRateLimited, "over the account's limit",
-                           verdict.retry_after);
+  this->EndWithoutSending(ErrorKind::kRateLimited, "over the account's limit",
+                          verdict.retry_after);
 }
 
 // Returns the tokens of a run that wasn't sent.
 void RelayedRequest::ReleaseTokens() {
-  if (std::exchange(this->tokens_asked, false)) {
+  if (std::exchange(this->tokens_pending, false)) {
     this->relay->limit_gate->Cancel(this->tokens.number);
   }
   if (std::exchange(this->tokens_held, false)) {
@@ -316,21 +316,22 @@
 
 void RelayedRequest::PlaceWithTokens() {
   const Instant now = this->relay->clock->Now();
-  WorkShape left = this->shape;
+  RequestProfile left = this->shape;
   left.patience = std::min(left.patience, this->Left());
   left.begun = this->StreamBegun() || this->may_have_run;
-  const Verdict verdict = this->relay->placement.Place(now, left, this->tried);
+  const PlacementResult verdict =
+      this->relay->placement.Place(now, left, this->tried);
   if (const auto* refused = std::get_if<Refused>(&verdict)) {
     const bool not_run = !this->StreamBegun() && !this->may_have_run;
-    this->FailWithoutSending(ErrorKind::kNoEndpoint, refused->reason,
-                             not_run
-                                 ? this->relay->placement.OnRefused(
-                                       now, this->service, refused->retry_after)
-                                 : Duration{});
+    this->EndWithoutSending(ErrorKind::kNoEndpoint, refused->reason,
+                            not_run
+                                ? this->relay->placement.OnRefused(
+                                      now, this->service, refused->retry_after)
+                                : Duration{});
     return;
   }
-  const Placed& placed = std::get<Placed>(verdict);
-  if (placed.reader && this->MayPrefillApart()) {
+  const PlacementTarget& placed = std::get<PlacementTarget>(verdict);
+  if (placed.reader && this->MayPrefillSeparately()) {
     this->SendPrefill(*placed.reader, placed);
   } else {
     this->SendRun(placed, "");
@@ -341,16 +342,16 @@
 // budget.
 bool RelayedRequest::MaySendAgain() {
   const bool attempts_left = this->runs_sent < this->route->max_attempts;
-  return attempts_left && this->WorthSending() &&
+  return attempts_left && this->HasTimeToSend() &&
          this->relay->budget.Take(this->relay->clock->Now(), this->service);
 }
 
 // The first prefill call that an engine accepts is no retry; any further one is
 // charged to the retry budget, since the charge for the retried run covers the
 // run alone.
-bool RelayedRequest::MayPrefillApart() {
+bool RelayedRequest::MayPrefillSeparately() {
   return this->request.prompt_tokens >=
-             this->relay->settings.split_from_tokens &&
+             this->relay->settings.min_split_prompt_tokens &&
          (!this->prompt_accepted ||
           this->relay->budget.Take(this->relay->clock->Now(), this->service));
 }
@@ -370,7 +371,7 @@
 }
 
 void RelayedRequest::SendPrefill(const EndpointId& reader,
-                                 const Placed& placed) {
+                                 const PlacementTarget& placed) {
   this->Send(
       {.endpoint = this->relay->endpoints.at(reader),
        .expected = placed.expected,
@@ -390,7 +391,7 @@
   return this->relay->endpoints.at(*endpoint).address;
 }
 
-void RelayedRequest::SendRun(const Placed& placed,
+void RelayedRequest::SendRun(const PlacementTarget& placed,
                              const std::string& fetch_from) {
   ++this->runs_sent;
   ++this->arrivals;
@@ -403,7 +404,7 @@
               .copy_from = this->AddressOf(placed.copy_from)},
              {.new_tokens = placed.new_tokens,
               .copied_tokens = placed.copied_tokens,
-              .prompt_read = !fetch_from.empty()});
+              .prefilled_elsewhere = !fetch_from.empty()});
 }
 
 void RelayedRequest::Send(Attempt next,
@@ -412,40 +413,42 @@
   const Instant now = this->relay->clock->Now();
   const Step step = next.reading ? Step::kArrival : Step::kRun;
   if (!this->StreamBegun() && !this->CanStillFinish(step)) {
-    this->DropHandle();
-    this->FailWithoutSending(ErrorKind::kShuttingDown, this->StopReason(),
-                             Duration{});
+    this->ReleaseHandle();
+    this->EndWithoutSending(ErrorKind::kShuttingDown, this->StopReasonText(),
+                            Duration{});
     return;
   }
   const std::optional<StopSchedule>& stop = this->relay->stop;
   if (stop && !this->StreamBegun() && !this->may_have_run &&
       !CanFinish(stop->Left(now), this->Need(step))) {
     this->caller->Decline();
-    this->DropHandle();
-    this->FailWithoutSending(ErrorKind::kShuttingDown, "this host stops",
-                             Duration{});
+    this->ReleaseHandle();
+    this->EndWithoutSending(ErrorKind::kShuttingDown, "this host stops",
+                            Duration{});
     return;
   }
   // The key may have been revoked since the request was admitted.
   if (!this->account.Empty() && !this->relay->KeysProven()) {
-    this->DropHandle();
-    this->FailWithoutSending(ErrorKind::kNoEndpoint,
-                             "the configuration may be outdated", kProofReturn);
+    this->ReleaseHandle();
+    this->EndWithoutSending(ErrorKind::kNoEndpoint,
+                            "the configuration may be outdated",
+                            kStaleKeysRetryAfter);
     return;
   }
   if (!this->account.Empty() && !this->KeyStillValid()) {
-    this->DropHandle();
-    this->FailWithoutSending(ErrorKind::kBadKey, "API key revoked", {});
+    this->ReleaseHandle();
+    this->EndWithoutSending(ErrorKind::kBadKey, "API key revoked", {});
     return;
   }
   EndpointCall whole = call;
   whole.endpoint = next.endpoint.run.id;
-  const Duration left = std::max(this->Left() - kWayBack, Duration{});
+  const Duration left =
+      std::max(this->Left() - kEndpointDeadlineMargin, Duration{});
   whole.patience = left;
   next.sent = now;
   next.work = this->relay->placement.OnSent(now, next.endpoint.run.id,
                                             this->shape, work);
-  this->relay->NoteReading(this->service, work.new_tokens);
+  this->relay->RecordPrefill(this->service, work.new_tokens);
   if (!whole.read_prompt_only && std::exchange(this->tokens_held, false)) {
     this->relay->metrics->Add("limit_tokens_admitted_total",
                               static_cast<double>(this->tokens.cost),
@@ -467,14 +470,14 @@
        .head = this->HeadFor(whole),
        .body = this->body,
        .no_answer_body = this->caller->Message().head.method == "HEAD",
-       .once = !MayRunAgain(this->route->kind) && !whole.read_prompt_only},
+       .once = !IsRepeatable(this->route->kind) && !whole.read_prompt_only},
       {.on_head = [this](const Http1Head& head) { return this->OnHead(head); },
        .on_bytes = [this](std::string_view bytes) { this->OnBytes(bytes); },
        .on_end = [this](HttpEnd end) { this->OnEnd(end); }});
   this->ArmStall();
 }
 
-void RelayedRequest::AfterFailure(Fate fate, std::string_view why) {
+void RelayedRequest::AfterFailure(RunResult fate, std::string_view why) {
   if (this->attempt) {
     this->tried.insert(this->attempt->endpoint.run.id);
     this->relay->Log(LogLevel::kInfo, this->request.id, "Attempt failed.",
@@ -484,37 +487,38 @@
     this->attempt.reset();
     // The tokens of a run that did not happen serve the next send, or are
     // returned at the end.
-    this->tokens_held =
-        this->tokens_held || (fate == Fate::kNotRun && this->tokens.cost > 0 &&
-                              this->relay->limit_gate != nullptr);
+    this->tokens_held = this->tokens_held ||
+                        (fate == RunResult::kNotRun && this->tokens.cost > 0 &&
+                         this->relay->limit_gate != nullptr);
   }
   if (this->caller->Started() && !IsStream(this->route->kind)) {
     this->BreakOff(why);  // only streams can be resumed by another run
     return;
   }
-  this->cutter.DropRest();
-  if (fate == Fate::kMayHaveRun) {
+  this->cutter.DropPartialEvent();
+  if (fate == RunResult::kMayHaveRun) {
     this->may_have_run = true;
   }
-  const bool may_repeat = !this->may_have_run || MayRunAgain(this->route->kind);
+  const bool may_repeat =
+      !this->may_have_run || IsRepeatable(this->route->kind);
   const bool charged = std::exchange(this->retry_charged, false);
   if (may_repeat && (charged || this->MaySendAgain())) {
     this->Place();
     return;
   }
-  this->FailWithoutSending(ErrorKind::kNoEndpoint, why, kLeastReturn);
+  this->EndWithoutSending(ErrorKind::kNoEndpoint, why, kMinRetryAfter);
 }
 
 void RelayedRequest::ArmStall() {
   const bool may_repeat =
-      MayRunAgain(this->route->kind) || this->attempt->reading;
+      IsRepeatable(this->route->kind) || this->attempt->reading;
   if (!may_repeat) {
     this->stall_timer.reset();
     return;
   }
   const RelaySettings& settings = this->relay->settings;
   const Duration limit =
-      std::max({settings.stall_floor,
+      std::max({settings.min_stall_timeout,
                 FromSeconds(ToSeconds(this->route->target_latency) *
                             settings.stall_factor),
                 FromSeconds(ToSeconds(this->attempt->expected) *
@@ -528,7 +532,8 @@
   const auto keep = this->shared_from_this();
   this->stall_timer.reset();
   if (!this->attempt->reading &&
-      (this->runs_sent >= this->route->max_attempts || !this->WorthSending())) {
+      (this->runs_sent >= this->route->max_attempts ||
+       !this->HasTimeToSend())) {
     return;  // no other attempt is possible, and this one may still answer
   }
   this->attempt->exchange->Cancel();
@@ -539,25 +544,25 @@
   const Instant now = this->relay->clock->Now();
   this->relay->placement.OnEnded(now, this->attempt->work);
   this->relay->placement.OnOutcome(now, this->attempt->endpoint.run.id, false);
-  this->AfterFailure(Fate::kMayHaveRun, "no answer in time");
+  this->AfterFailure(RunResult::kMayHaveRun, "no answer in time");
 }
 
 void RelayedRequest::OnDeadline() {
   const auto keep = this->shared_from_this();
   const bool sent = this->attempt && !this->attempt->reading;
   const std::string_view why =
-      this->Left() > Duration{} ? this->StopReason() : "out of time";
+      this->Left() > Duration{} ? this->StopReasonText() : "out of time";
   this->EndAttempt();
   if (this->StreamBegun()) {
     this->BreakOff(why);
   } else if (sent || this->may_have_run) {
     this->AnswerError(ErrorKind::kTimeout, why);
   } else {
-    this->RefuseNotRun(why, kLeastReturn);
+    this->RefuseNotRun(why, kMinRetryAfter);
   }
 }
 
-void RelayedRequest::OnCallerGone() {
+void RelayedRequest::OnCallerDisconnected() {
   const auto keep = this->shared_from_this();
   if (this->over) {
     return;
@@ -569,7 +574,7 @@
 void RelayedRequest::Abandon() {
   const auto keep = this->shared_from_this();
   this->over = true;
-  this->tokens_asked = false;
+  this->tokens_pending = false;
   this->tokens_held = false;
   this->EndAttempt();
   this->caller->OnGone({});
@@ -585,7 +590,7 @@
        {"endpoint", this->attempt ? this->attempt->endpoint.run.id.Text() : ""},
        {"begun", this->StreamBegun() ? "true" : "false"},
        {"ms", MillisecondsText(this->relay->clock->Now() - this->arrived)},
-       {"stopping_ms", this->relay->StoppingText()}});
+       {"stopping_ms", this->relay->SinceStopText()}});
 }
 
 // Cancels the attempt, at the endpoint too, and frees a prefilled prompt.
@@ -598,23 +603,23 @@
                                    this->attempt->work);
     this->attempt.reset();
   }
-  this->DropHandle();
+  this->ReleaseHandle();
 }
 
 // Frees the engine memory of a prefilled prompt that no run will fetch.
-void RelayedRequest::DropHandle() {
+void RelayedRequest::ReleaseHandle() {
   if (this->handle.empty()) {
     return;
   }
   const std::string target =
       this->relay->codec->DropHandleTarget(std::exchange(this->handle, {}));
-  this->relay->pool.Send({.address = this->handle_at,
-                          .head = "DELETE " + target +
-                                  " HTTP/1.1\r\nHost: " + this->handle_at.host +
-                                  "\r\nContent-Length: 0\r\n\r\n"},
-                         {.on_head = [](const Http1Head&) { return true; },
-                          .on_bytes = [](std::string_view) {},
-                          .on_end = [](HttpEnd) {}});
+  this->relay->pool.Send(
+      {.address = this->handle_address,
+       .head = "DELETE " + target + " HTTP/1.1\r\nHost: " +
+               this->handle_address.host + "\r\nContent-Length: 0\r\n\r\n"},
+      {.on_head = [](const Http1Head&) { return true; },
+       .on_bytes = [](std::string_view) {},
+       .on_end = [](HttpEnd) {}});
 }
 
 void RelayedRequest::AnswerError(ErrorKind kind,
@@ -627,7 +632,8 @@
 
 void RelayedRequest::RefuseNotRun(std::string_view why, Duration retry_after) {
   // With a Retry-After beyond its own deadline the caller could not retry.
-  const Duration most = FromSeconds(ToSeconds(this->Left()) * kReturnShare);
+  const Duration most =
+      FromSeconds(ToSeconds(this->Left()) * kMaxRetryAfterShare);
   this->AnswerError(
       ErrorKind::kNoEndpoint, why,
       std::clamp(retry_after, Duration{}, std::max(most, Duration{})));
@@ -635,9 +641,9 @@
 
 // Answers "not run" only if no endpoint can have run the request, since the
 // caller may then safely repeat it.
-void RelayedRequest::FailWithoutSending(ErrorKind kind,
-                                        std::string_view why,
-                                        Duration retry_after) {
+void RelayedRequest::EndWithoutSending(ErrorKind kind,
+                                       std::string_view why,
+                                       Duration retry_after) {
   if (this->StreamBegun()) {
     this->BreakOff(why);
   } else if (this->may_have_run) {
@@ -677,7 +683,7 @@
         std::to_string(this->configuration ? this->configuration->version : 0)},
        {"proof_ms", proof_age ? MillisecondsText(*proof_age) : ""},
        {"sends", std::to_string(this->arrivals)},
-       {"stopping_ms", this->relay->StoppingText()},
+       {"stopping_ms", this->relay->SinceStopText()},
        {"first_ms",
         MillisecondsText(this->first_event.value_or(this->arrived + took) -
                          this->arrived)},
--- a/packages/relay/relayed_request.h
+++ b/packages/relay/relayed_request.h
@@ -64,14 +64,14 @@
     int status = 0;
     EndpointAnswer answer;
     HttpHeaders headers;
-    std::string body;      // buffered until complete
-    bool foreign = false;  // the answer has no request id
-    bool passing = false;  // the body is forwarded as it arrives
+    std::string body;              // buffered until complete
+    bool foreign = false;          // the answer has no request id
+    bool forwarding_body = false;  // the body is forwarded as it arrives
     std::optional<Instant> first_byte_at;
   };
 
   // Whether an attempt answered, did not run, or may have run.
-  enum class Fate { kDone, kNotRun, kMayHaveRun };
+  enum class RunResult { kDone, kNotRun, kMayHaveRun };
 
   std::optional<Error> Admit();
   void TakeOver();
@@ -82,8 +82,8 @@
   // its run.
   enum class Step { kArrival, kRun };
   AnswerKind Kind() const;
-  std::string_view StopReason() const;
-  AnswerNeed Need(Step step) const;
+  std::string_view StopReasonText() const;
+  AnswerDuration Need(Step step) const;
   bool CanStillFinish(Step step) const;
   bool KeyStillValid() const;
   bool TakeTokens();
@@ -93,9 +93,9 @@
   void Place();
   void PlaceWithTokens();
   bool MaySendAgain();
-  bool MayPrefillApart();
-  void SendPrefill(const EndpointId& reader, const Placed& placed);
-  void SendRun(const Placed& placed, const std::string& fetch_from);
+  bool MayPrefillSeparately();
+  void SendPrefill(const EndpointId& reader, const PlacementTarget& placed);
+  void SendRun(const PlacementTarget& placed, const std::string& fetch_from);
   std::optional<SocketAddress> AddressOf(
       const std::optional<EndpointId>& endpoint) const;
   void Send(Attempt next, const EndpointCall& call, const SentWork& work);
@@ -105,22 +105,22 @@
   void OnBytes(std::string_view bytes);
   void OnEnd(HttpEnd end);
   void OnRead(HttpEnd end);
-  void NoteOutcome(const Attempt& ended, bool good);
+  void RecordOutcome(const Attempt& ended, bool good);
   void OnPromptHandle(const PromptHandle& handle, const EndpointId& reader);
-  Fate JudgeEnd(HttpEnd end);
-  Fate JudgeWhole();
+  RunResult JudgeEnd(HttpEnd end);
+  RunResult JudgeWhole();
   void PassOn(std::string_view bytes);
   void StartAnswer(std::optional<uint64_t> length);
-  void AfterFailure(Fate fate, std::string_view why);
-  void NoteBegun();
-  void NoteFirstByte();
-  void NoteEvent();
+  void AfterFailure(RunResult fate, std::string_view why);
+  void MarkBegun();
+  void RecordFirstByte();
+  void RecordEvent();
 
   void ArmStall();
   void OnStall();
   void OnDeadline();
-  void OnCallerGone();
-  void DropHandle();
+  void OnCallerDisconnected();
+  void ReleaseHandle();
   void EndAttempt();
 
   // Final answers that this host generates itself.
@@ -128,16 +128,16 @@
                    std::string_view why,
                    std::optional<Duration> retry_after = {});
   void RefuseNotRun(std::string_view why, Duration retry_after);
-  void FailWithoutSending(ErrorKind kind,
-                          std::string_view why,
-                          Duration retry_after);
+  void EndWithoutSending(ErrorKind kind,
+                         std::string_view why,
+                         Duration retry_after);
   void BreakOff(std::string_view why);
   void Over(std::string_view outcome);
 
   Duration Left() const;
 
   // Whether the time left suffices for another send.
-  bool WorthSending() const;
+  bool HasTimeToSend() const;
   bool StreamBegun() const {
     return this->caller->Started() || this->origin.stream_begun;
   }
@@ -151,10 +151,10 @@
   ServiceId service;
   AccountId account;
   std::optional<int64_t> priority;
-  LimitAsk tokens;            // of the account's limit; cost 0: no limit
-  bool tokens_held = false;   // granted for the next run, not yet sent
-  bool tokens_asked = false;  // the limit gate has not decided yet
-  WorkShape shape;
+  LimitRequest tokens;          // of the account's limit; cost 0: no limit
+  bool tokens_held = false;     // granted for the next run, not yet sent
+  bool tokens_pending = false;  // the limit gate has not decided yet
+  RequestProfile shape;
   uint64_t fingerprint = 0;
   Instant arrived{};
   Instant deadline{};
@@ -169,8 +169,8 @@
   bool may_have_run = false;
   bool begun = false;
   bool over = false;
-  bool retry_charged = false;  // the next send is charged to the retry budget
-  SocketAddress handle_at;     // engine that holds the prefilled prompt
+  bool retry_charged = false;    // the next send is charged to the retry budget
+  SocketAddress handle_address;  // engine that holds the prefilled prompt
   std::string handle;
   EventCutter cutter;
   std::optional<Instant> first_event;  // forwarded to the caller
--- a/packages/relay/request_forwarder.cc
+++ b/packages/relay/request_forwarder.cc
@@ -11,10 +11,10 @@
 constexpr std::string_view kPart = "forward";
 
 // The most schedulers that one request is sent to, one after the other.
-constexpr int64_t kMostSends = 3;
+constexpr int64_t kMaxSends = 3;
 
 // Bytes of a request's body per message.
-constexpr size_t kBodyPart = size_t{256} << 10;
+constexpr size_t kBodyChunkBytes = size_t{256} << 10;
 
 // Flow control: with more bytes unread by a slow caller, the scheduler is asked
 // to pause the answer.
@@ -23,11 +23,11 @@
 // Schedulers answer by the caller's deadline themselves. One that has not done
 // so this much later is considered hung.
 constexpr Duration kDeadlineMargin = std::chrono::milliseconds(150);
-constexpr Duration kDefaultPatience = std::chrono::seconds(30);
+constexpr Duration kDefaultCallerTimeout = std::chrono::seconds(30);
 
 // Retry-After while no scheduler is connected: connections to schedulers are
 // attempted again within this time.
-constexpr Duration kLinkReturn = std::chrono::milliseconds(600);
+constexpr Duration kNoSchedulerRetryAfter = std::chrono::milliseconds(600);
 
 constexpr int kLogBurst = 300;
 constexpr Duration kLogInterval = std::chrono::milliseconds(10);
@@ -97,15 +97,15 @@
     return;
   }
   call->request = read->id;
-  const Duration timeout = read->patience.value_or(kDefaultPatience);
+  const Duration timeout = read->patience.value_or(kDefaultCallerTimeout);
   // Schedulers know how long answers take, so they decide as long as requests
   // are accepted.
-  if (this->stop && call->arrived >= this->stop->takes_until &&
-      !this->stop->MayTake(call->arrived, {.limit = timeout})) {
+  if (this->stop && call->arrived >= this->stop->accept_until &&
+      !this->stop->MayAccept(call->arrived, {.limit = timeout})) {
     this->GiveUp(*call, ErrorKind::kShuttingDown, kStopping);
     return;
   }
-  call->give_up_at = call->arrived + timeout + kDeadlineMargin;
+  call->no_answer_deadline = call->arrived + timeout + kDeadlineMargin;
   this->ArmDeadline(call);
   this->Forward(call);
 }
@@ -118,9 +118,9 @@
 }
 
 void RequestForwarder::ArmDeadline(const CallPtr& call) {
-  const Instant end = this->stop
-                          ? std::min(call->give_up_at, this->stop->finish_by)
-                          : call->give_up_at;
+  const Instant end =
+      this->stop ? std::min(call->no_answer_deadline, this->stop->finish_by)
+                 : call->no_answer_deadline;
   call->deadline = Timer::After(std::max(end - this->clock->Now(), Duration{}),
                                 [this, weak = std::weak_ptr(call)] {
                                   if (const auto late = weak.lock()) {
@@ -131,8 +131,8 @@
 
 // Sends a request to the next scheduler, or ends it if there is none.
 void RequestForwarder::Forward(const CallPtr& call) {
-  const auto to = call->sends < kMostSends ? this->choice.Choose(call->tried)
-                                           : std::nullopt;
+  const auto to =
+      call->sends < kMaxSends ? this->choice.Choose(call->tried) : std::nullopt;
   if (!to) {
     this->GiveUp(*call,
                  call->UncertainSends() > 0 ? ErrorKind::kEndpointFailed
@@ -168,7 +168,7 @@
       .method = message.head.method,
       .target = message.head.target,
       .headers = message.head.headers,
-      .body = std::string(body.substr(0, kBodyPart)),
+      .body = std::string(body.substr(0, kBodyChunkBytes)),
       .body_length = body.size(),
       .age = this->clock->Now() - call.arrived,
       .earlier_sends = call.UncertainSends(),
@@ -178,10 +178,12 @@
                            ? std::optional(this->stop->Left(this->clock->Now()))
                            : std::nullopt};
   bool sent = this->send(to, first);
-  for (size_t at = kBodyPart; sent && at < body.size(); at += kBodyPart) {
+  for (size_t at = kBodyChunkBytes; sent && at < body.size();
+       at += kBodyChunkBytes) {
     sent = this->send(
-        to, ForwardedBody{.number = number,
-                          .bytes = std::string(body.substr(at, kBodyPart))});
+        to,
+        ForwardedBody{.number = number,
+                      .bytes = std::string(body.substr(at, kBodyChunkBytes))});
   }
   return sent;
 }
@@ -219,7 +221,7 @@
   ++call->declined;
   this->metrics->Add("forwards_declined_total", 1);
   this->LogCall(*call, "Declined by the scheduler.");
-  if (call->sends >= kMostSends || !this->choice.Choose(call->tried)) {
+  if (call->sends >= kMaxSends || !this->choice.Choose(call->tried)) {
     return false;
   }
   this->calls.erase(number);
@@ -301,7 +303,7 @@
   const CallPtr call = found->second;
   this->send(call->scheduler, ForwardControl{.number = number});
   this->End(number);
-  const bool stops = this->clock->Now() < call->give_up_at;
+  const bool stops = this->clock->Now() < call->no_answer_deadline;
   this->GiveUp(*call, ErrorKind::kTimeout, stops ? kStopping : kNoAnswer);
 }
 
@@ -322,7 +324,7 @@
       this->GiveUp(*call, ErrorKind::kBrokenAnswer, kSchedulerLost);
     } else {
       call->paused = false;
-      call->events.DropRest();
+      call->events.DropPartialEvent();
       this->Forward(call);
     }
   }
@@ -341,7 +343,7 @@
   } else {
     const bool not_run = AnswerFor(kind).not_run && call.UncertainSends() == 0;
     const Duration retry_after =
-        kind == ErrorKind::kShuttingDown ? Duration{} : kLinkReturn;
+        kind == ErrorKind::kShuttingDown ? Duration{} : kNoSchedulerRetryAfter;
     AnswerOwnError(*call.caller, *this->metrics, kind, why.text,
                    not_run ? std::optional(retry_after) : std::nullopt);
   }
--- a/packages/relay/request_forwarder.h
+++ b/packages/relay/request_forwarder.h
@@ -98,9 +98,10 @@
     int64_t number = 0;  // identifies it on the link to `scheduler`
     HostId scheduler;
     Instant arrived{};
-    Instant give_up_at{};  // when it is ended without a scheduler's answer
-    int64_t sends = 0;     // to schedulers
-    int64_t declined = 0;  // of the sends; these did not run
+    Instant
+        no_answer_deadline{};  // when it is ended without a scheduler's answer
+    int64_t sends = 0;         // to schedulers
+    int64_t declined = 0;      // of the sends; these did not run
     std::set<HostId> tried;
     EventCutter events;  // tracks the id of the last forwarded event
     bool streams = false;
--- a/tests/authority_test.cc
+++ b/tests/authority_test.cc
@@ -203,7 +203,7 @@
   CHECK(second.Sent<SendEndpointOrder>().empty());
   CHECK(second.Propose(At(21), kMore).error().kind == ErrorKind::kConflict);
   first.Tick(At(22));
-  const auto told = first.Sent<TellReleased>();
+  const auto told = first.Sent<SendReleaseNotice>();
   LONGS_EQUAL(1, told.size());
   CoordinatorActions actions;
   second.coordinator.OnReleased(At(22.5), told.front().release, actions);
@@ -271,7 +271,7 @@
   first.coordinator.StartRelease(At(1), actions);
   first.Settle(At(1), actions);
   CHECK(first.coordinator.Released());
-  LONGS_EQUAL(1, first.Sent<TellReleased>().size());
+  LONGS_EQUAL(1, first.Sent<SendReleaseNotice>().size());
   second.Tick(At(1.1));
   CHECK(second.coordinator.Ready());
 }
--- a/tests/claims_test.cc
+++ b/tests/claims_test.cc
@@ -84,7 +84,7 @@
   }
 
   ModelStore& store;
-  ClaimBook book;
+  ClaimManager book;
   std::map<std::string, ClaimResult> answers;
   bool down = false;
   bool lose_replies = false;
@@ -212,7 +212,7 @@
 TEST(Claims, CallsGrowSlowerThanFilings) {
   for (const int64_t rate : {1, 20, 100, 1000, 3000}) {
     ModelStore counted;
-    ClaimBook book({.host = HostId("a"), .incarnation = 1});
+    ClaimManager book({.host = HostId("a"), .incarnation = 1});
     std::queue<std::pair<Instant, RunTransaction>> asked;
     int64_t granted = 0;
     int64_t filed = 0;
--- a/tests/configuration_test.cc
+++ b/tests/configuration_test.cc
@@ -228,7 +228,7 @@
     ConfigurationChange change = AddingAccount("a" + std::to_string(i));
     CHECK(RunChange(change, store).has_value());
   }
-  LONGS_EQUAL(kRememberedChanges, ReadAll(store).head.recent.size());
+  LONGS_EQUAL(kMaxRecentChanges, ReadAll(store).head.recent.size());
   LONGS_EQUAL(50, ReadAll(store).head.revision);
 }
 
--- a/tests/daemon_test.cc
+++ b/tests/daemon_test.cc
@@ -340,7 +340,7 @@
 
   // Reads the stream by a plain socket: HttpClient can't tell a chunked answer
   // whose connection closes behind its last chunk from one that is cut.
-  std::future<std::string> ReadRaw(const HttpOutgoing& call) {
+  std::future<std::string> ReadRaw(const HttpClientRequest& call) {
     std::string text = call.method + " " + call.target + " HTTP/1.1\r\n";
     for (const auto& [name, value] : call.headers) {
       text += name + ": " + value + "\r\n";
--- a/tests/digest_delta_test.cc
+++ b/tests/digest_delta_test.cc
@@ -18,7 +18,8 @@
 
 const HostId kReceiver("r");
 // Forgets so soon that every random history has forgotten entries in it.
-constexpr DigestSenderOptions kForgetful{.keep_gone = 1, .max_gone = 4};
+constexpr DigestSenderOptions kForgetful{.removed_retention = 1,
+                                         .max_removed = 4};
 constexpr int64_t kUnits = kSummaryUnit / kServedUnit;
 
 EndpointOutstanding Sent(const std::string& endpoint, int64_t requests) {
@@ -117,7 +118,7 @@
     const DigestDelta delta = this->sender.Next(kReceiver);
     if (digest_passes) {
       const auto outcome = this->receiver.Apply(delta);
-      RC_ASSERT(outcome != DeltaOutcome::kWrong);
+      RC_ASSERT(outcome != DeltaOutcome::kMalformed);
     }
     if (ack_passes) {
       this->sender.OnAck(kReceiver, this->receiver.Ack());
@@ -196,7 +197,7 @@
 // every id it ever used would grow for as long as it runs, also when one of
 // its receivers has stopped answering.
 TEST(DigestDelta, ForgetsIdsThatAreGone) {
-  DigestSender sender({.keep_gone = 100, .max_gone = 1000});
+  DigestSender sender({.removed_retention = 100, .max_removed = 1000});
   DigestReceiver receiver;
   const HostId deaf("deaf");
   sender.OnConnected(kReceiver, 1);
@@ -228,7 +229,7 @@
   DigestDelta delta;
   delta.incarnation = delta.sequence = 1;
   delta.outstanding = {{.index = 3, .id = {}, .first = 1, .second = 1}};
-  CHECK(receiver.Apply(delta) == DeltaOutcome::kWrong);
+  CHECK(receiver.Apply(delta) == DeltaOutcome::kMalformed);
   CHECK(receiver.Ack().gap);
   CHECK(receiver.Current().outstanding.empty());
 }
--- a/tests/fleet_decisions_test.cc
+++ b/tests/fleet_decisions_test.cc
@@ -7,10 +7,10 @@
 #include "decisions/engine_pace.h"
 #include "decisions/fleet_clock.h"
 #include "decisions/fleet_placement.h"
+#include "decisions/fleet_retry_budget.h"
 #include "decisions/role_plan.h"
 #include "decisions/scale_plan.h"
 #include "decisions/usage_windows.h"
-#include "decisions/window_budget.h"
 
 namespace hickorystand {
 namespace {
@@ -50,7 +50,7 @@
 }
 
 // A prompt of 13,300 shared tokens and 3,700 of its own.
-WorkShape LongPrompt(uint64_t shared, uint64_t own) {
+RequestProfile LongPrompt(uint64_t shared, uint64_t own) {
   return {.service = kService,
           .engine = true,
           .prompt_tokens = 17000,
@@ -58,10 +58,11 @@
                     {.part = own, .tokens = 3700}}};
 }
 
-Placed PlacedAt(const FleetPlacement& placement, const WorkShape& shape) {
-  const Verdict verdict = placement.Place(At(1), shape, {});
-  CHECK(std::holds_alternative<Placed>(verdict));
-  return std::get<Placed>(verdict);
+PlacementTarget PlacedAt(const FleetPlacement& placement,
+                         const RequestProfile& shape) {
+  const PlacementResult verdict = placement.Place(At(1), shape, {});
+  CHECK(std::holds_alternative<PlacementTarget>(verdict));
+  return std::get<PlacementTarget>(verdict);
 }
 
 FleetPlacement MakePlacement(const FleetEndpoints& fleet) {
@@ -80,8 +81,9 @@
   const FleetPlacement one = MakePlacement(FourEngines());
   const FleetPlacement other = MakePlacement(FourEngines());
   for (uint64_t part = 1; part < 20; ++part) {
-    const Placed first = PlacedAt(one, LongPrompt(part, 1000 + part));
-    const Placed second = PlacedAt(other, LongPrompt(part, 2000 + part));
+    const PlacementTarget first = PlacedAt(one, LongPrompt(part, 1000 + part));
+    const PlacementTarget second =
+        PlacedAt(other, LongPrompt(part, 2000 + part));
     CHECK(first.reader == second.reader);
     CHECK(first.reader || first.endpoint == second.endpoint);
   }
@@ -96,7 +98,7 @@
   placement.OnPeerWork(
       HostId("peer"),
       {{.endpoint = EndpointId("r1"), .prompt_tokens = 38000, .requests = 3}});
-  const Placed placed = PlacedAt(placement, LongPrompt(7, 8));
+  const PlacementTarget placed = PlacedAt(placement, LongPrompt(7, 8));
   CHECK(placed.reader != EndpointId("r1"));
   CHECK(placed.copy_from == EndpointId("r1"));
   LONGS_EQUAL(3700, placed.new_tokens);
@@ -107,7 +109,7 @@
 // read, and wait behind a whole prompt.
 TEST(FleetPlacement, ForgetsWhatWasNeverRead) {
   FleetPlacement placement = MakePlacement(FourEngines());
-  const WorkShape shape = LongPrompt(7, 8);
+  const RequestProfile shape = LongPrompt(7, 8);
   const WorkId work = placement.OnSent(At(1), EndpointId("r1"), shape,
                                        {.new_tokens = shape.prompt_tokens});
   LONGS_EQUAL(0, placement.NewTokens(EndpointId("r1"), shape));
@@ -119,10 +121,10 @@
 // that it is gone or another process has its id.
 TEST(FleetPlacement, KeepsWhatWasReadUntilTheEngineLosesIt) {
   FleetPlacement placement = MakePlacement(FourEngines());
-  const WorkShape shape = LongPrompt(7, 8);
+  const RequestProfile shape = LongPrompt(7, 8);
   const WorkId work =
       placement.OnSent(At(1), EndpointId("r1"), shape, {.new_tokens = 17000});
-  placement.OnPromptRead(At(1.4), work);
+  placement.OnPrefillDone(At(1.4), work);
   placement.OnEnded(At(1.5), work);
   LONGS_EQUAL(0, placement.NewTokens(EndpointId("r1"), shape));
   placement.OnCache(EndpointId("r1"), {.part = 8, .tokens = 0});
@@ -140,18 +142,18 @@
       MakePlacement(Fleet({Engine("r1", EndpointRole::kPrefill),
                            Engine("r2", EndpointRole::kPrefill),
                            Engine("g1", EndpointRole::kDecode)}));
-  const WorkShape shape = LongPrompt(1, 2);
+  const RequestProfile shape = LongPrompt(1, 2);
   for (int round = 0; round < 30; ++round) {
     const WorkId work = placement.OnSent(At(round * 3), EndpointId("r1"), shape,
                                          {.new_tokens = 17000});
     const WorkId usual = placement.OnSent(At(round * 3), EndpointId("r2"),
                                           shape, {.new_tokens = 17000});
-    placement.OnPromptRead(At(round * 3 + 0.48), usual);
+    placement.OnPrefillDone(At(round * 3 + 0.48), usual);
     placement.OnEnded(At(round * 3 + 0.48), usual);
-    placement.OnPromptRead(At(round * 3 + 1.9), work);
+    placement.OnPrefillDone(At(round * 3 + 1.9), work);
     placement.OnEnded(At(round * 3 + 1.9), work);
-    placement.ForgetCache(EndpointId("r1"));
-    placement.ForgetCache(EndpointId("r2"));
+    placement.ClearCache(EndpointId("r1"));
+    placement.ClearCache(EndpointId("r2"));
   }
   for (uint64_t part = 10; part < 30; ++part) {
     CHECK(PlacedAt(placement, LongPrompt(part, 1000 + part)).reader !=
@@ -182,12 +184,12 @@
   FleetEndpoints fleet = FourEngines();
   fleet.at(EndpointId("g1")).leaving = true;
   FleetPlacement placement = MakePlacement(fleet);
-  placement.SetAway(HostId("peer"), {EndpointId("r1")});
+  placement.SetUnavailable(HostId("peer"), {EndpointId("r1")});
   placement.OnWrongRole(At(0.9), EndpointId("r2"));
-  const Placed placed = PlacedAt(placement, LongPrompt(1, 2));
+  const PlacementTarget placed = PlacedAt(placement, LongPrompt(1, 2));
   CHECK(placed.endpoint == EndpointId("g2"));
   CHECK(!placed.reader);
-  placement.ForgetPeer(HostId("peer"));
+  placement.RemovePeer(HostId("peer"));
   CHECK(PlacedAt(placement, LongPrompt(1, 2)).reader == EndpointId("r1"));
 }
 
@@ -201,7 +203,7 @@
         {.endpoint = id, .prompt_tokens = int64_t{4} * 37900, .requests = 30});
   }
   placement.OnPeerWork(HostId("peer"), work);
-  const Verdict verdict = placement.Place(At(1), LongPrompt(1, 2), {});
+  const PlacementResult verdict = placement.Place(At(1), LongPrompt(1, 2), {});
   CHECK(std::holds_alternative<Refused>(verdict));
   const Duration wait = std::get<Refused>(verdict).retry_after;
   CHECK(wait > std::chrono::seconds(1) && wait < std::chrono::seconds(4));
@@ -214,11 +216,11 @@
   FleetPlacement placement =
       MakePlacement(Fleet({Engine("g1", EndpointRole::kDecode),
                            Engine("g2", EndpointRole::kDecode)}));
-  const WorkShape shape = LongPrompt(1, 2);
-  placement.SetServiceShare(shape.service, {.requests_at_once = 2});
+  const RequestProfile shape = LongPrompt(1, 2);
+  placement.SetServiceParameters(shape.service, {.max_concurrent_requests = 2});
   std::map<EndpointId, int> sent;
   for (int i = 0; i < 4; ++i) {
-    const Placed placed = PlacedAt(placement, shape);
+    const PlacementTarget placed = PlacedAt(placement, shape);
     placement.OnSent(At(1), placed.endpoint, shape, {});
     ++sent[placed.endpoint];
   }
@@ -231,8 +233,8 @@
 // draw prompts there as if it were.
 TEST(FleetPlacement, BelievesNoMoreKeptThanAServicesEnginesHold) {
   FleetPlacement placement = MakePlacement(FourEngines());
-  const WorkShape shape = LongPrompt(1, 2);
-  placement.SetServiceShare(shape.service, {.cache_tokens = 20000});
+  const RequestProfile shape = LongPrompt(1, 2);
+  placement.SetServiceParameters(shape.service, {.cache_tokens = 20000});
   const EndpointId engine("r1");
   placement.OnCache(engine, {.part = 1, .tokens = 13300});
   placement.OnCache(engine, {.part = 9, .tokens = 13300});
@@ -247,7 +249,7 @@
   FleetPlacement placement =
       MakePlacement(Fleet({Engine("r1", EndpointRole::kPrefill),
                            Engine("g1", EndpointRole::kDecode)}));
-  WorkShape shape = LongPrompt(1, 2);
+  RequestProfile shape = LongPrompt(1, 2);
   shape.target = std::chrono::milliseconds(300);
   const auto wait = [&placement](int64_t tokens) {
     placement.OnPeerWork(
@@ -257,18 +259,21 @@
           .prompt_tokens = tokens,
           .requests = 1}});
   };
-  CHECK(std::holds_alternative<Placed>(placement.Place(At(1), shape, {})));
+  CHECK(std::holds_alternative<PlacementTarget>(
+      placement.Place(At(1), shape, {})));
   wait(8000);  // 211 ms at r1
-  CHECK(std::holds_alternative<Placed>(placement.Place(At(1), shape, {})));
+  CHECK(std::holds_alternative<PlacementTarget>(
+      placement.Place(At(1), shape, {})));
   wait(10000);  // 264 ms at r1, more at g1
-  const Verdict verdict = placement.Place(At(1), shape, {});
+  const PlacementResult verdict = placement.Place(At(1), shape, {});
   CHECK(std::holds_alternative<Refused>(verdict));
   const Duration back = std::get<Refused>(verdict).retry_after;
   CHECK(back > std::chrono::milliseconds(20) &&
         back < std::chrono::milliseconds(60));
   // A stream that broke midway goes on all the same.
   shape.begun = true;
-  CHECK(std::holds_alternative<Placed>(placement.Place(At(1), shape, {})));
+  CHECK(std::holds_alternative<PlacementTarget>(
+      placement.Place(At(1), shape, {})));
 }
 
 // A burst lasts for seconds. Callers that were told to come back when the queue
@@ -296,18 +301,18 @@
   FleetPlacement placement =
       MakePlacement(Fleet({Engine("r1", EndpointRole::kPrefill),
                            Engine("g1", EndpointRole::kDecode)}));
-  WorkShape shape = LongPrompt(1, 2);
+  RequestProfile shape = LongPrompt(1, 2);
   shape.prompt_tokens = 4000;
   shape.parts = {{.part = 2, .tokens = 4000}};
-  placement.SetServiceShare(kService,
-                            {.pause_target = std::chrono::milliseconds(600)});
+  placement.SetServiceParameters(
+      kService, {.pause_target = std::chrono::milliseconds(600)});
   placement.OnPeerWork(
       HostId("peer"),
       {{.endpoint = EndpointId("r1"), .prompt_tokens = 14000, .requests = 5}});
   const auto reader = [&](double at) {
-    const Verdict verdict = placement.Place(At(at), shape, {});
-    CHECK(std::holds_alternative<Placed>(verdict));
-    return std::get<Placed>(verdict).reader;
+    const PlacementResult verdict = placement.Place(At(at), shape, {});
+    CHECK(std::holds_alternative<PlacementTarget>(verdict));
+    return std::get<PlacementTarget>(verdict).reader;
   };
   CHECK(!reader(1));
   for (int i = 0; i < 100; ++i) {
@@ -334,13 +339,13 @@
   placement.SetConnected([&connected](const FleetEndpoint& endpoint) {
     return endpoint.run.id == connected;
   });
-  const WorkShape shape = LongPrompt(1, 2);
+  const RequestProfile shape = LongPrompt(1, 2);
   const auto answers = [&] {
     return placement.PlaceAnswer(At(1), shape, EndpointId("r"), {});
   };
   CHECK(answers() == connected);
   for (int i = 0; i < 32; ++i) {
-    placement.OnSent(At(1), connected, shape, {.prompt_read = true});
+    placement.OnSent(At(1), connected, shape, {.prefilled_elsewhere = true});
   }
   CHECK(answers() != connected);
 }
@@ -352,11 +357,12 @@
       MakePlacement(Fleet({Engine("r1", EndpointRole::kPrefill, kThere),
                            Engine("g1", EndpointRole::kDecode, kHere),
                            Engine("g2", EndpointRole::kDecode, kThere)}));
-  const WorkShape shape = LongPrompt(1, 2);
+  const RequestProfile shape = LongPrompt(1, 2);
   const EndpointId reader("r1");
   CHECK(placement.PlaceAnswer(At(1), shape, reader, {}) == EndpointId("g2"));
   for (int i = 0; i < 60; ++i) {
-    placement.OnSent(At(1), EndpointId("g2"), shape, {.prompt_read = true});
+    placement.OnSent(At(1), EndpointId("g2"), shape,
+                     {.prefilled_elsewhere = true});
   }
   CHECK(placement.PlaceAnswer(At(1), shape, reader, {}) == EndpointId("g1"));
 }
@@ -370,11 +376,11 @@
   FleetPlacement placement = MakePlacement(fleet);
   std::map<EndpointId, int> sent;
   for (int i = 0; i < 60; ++i) {
-    WorkShape shape{.service = kService,
-                    .engine = true,
-                    .prompt_tokens = 100,
-                    .target = std::chrono::milliseconds(500)};
-    const Placed placed = PlacedAt(placement, shape);
+    RequestProfile shape{.service = kService,
+                         .engine = true,
+                         .prompt_tokens = 100,
+                         .target = std::chrono::milliseconds(500)};
+    const PlacementTarget placed = PlacedAt(placement, shape);
     placement.OnSent(At(1), placed.endpoint, shape, {});
     ++sent[placed.endpoint];
     if (i == 19) {
@@ -394,7 +400,7 @@
   double tokens_a_second = 0;
   Duration delay = std::chrono::milliseconds(2);
 
-  ReadingMeasured Read(int64_t tokens) const {
+  PrefillMeasurement Read(int64_t tokens) const {
     return {.tokens = tokens,
             .took = this->delay + FromSeconds(static_cast<double>(tokens) /
                                               this->tokens_a_second)};
@@ -409,7 +415,7 @@
     const auto engine = static_cast<size_t>(i) % engines.size();
     pace.OnRead(engines[engine].Read(3000 + 500 * (i % 7)));
   }
-  return pace.PromptTokens(EndpointRole::kPrefill);
+  return pace.PrefillTokensPerSecond(EndpointRole::kPrefill);
 }
 
 }  // namespace
@@ -451,20 +457,21 @@
   PaceFigures broken = fresh.Figures();
   broken.token_prefill = {.seconds = 0, .measurements = 1000};
   fresh.Adopt(broken);
-  DOUBLES_EQUAL(kGuess, fresh.PromptTokens(EndpointRole::kPrefill), 1);
+  DOUBLES_EQUAL(kGuess, fresh.PrefillTokensPerSecond(EndpointRole::kPrefill),
+                1);
   fresh.Adopt(known.Figures());
-  DOUBLES_EQUAL(known.PromptTokens(EndpointRole::kPrefill),
-                fresh.PromptTokens(EndpointRole::kPrefill), 1);
+  DOUBLES_EQUAL(known.PrefillTokensPerSecond(EndpointRole::kPrefill),
+                fresh.PrefillTokensPerSecond(EndpointRole::kPrefill), 1);
   known.Adopt(EnginePace({.prompt_tokens = kGuess}).Figures());
-  CHECK(known.PromptTokens(EndpointRole::kPrefill) > 5 * kGuess);
+  CHECK(known.PrefillTokensPerSecond(EndpointRole::kPrefill) > 5 * kGuess);
 }
 
-TEST_GROUP(WindowBudget){};
+TEST_GROUP(FleetRetryBudget){};
 
 // Endpoints fail everything. Repeats stay within a fifth of the requests of the
 // window and a fixed slack, in any window.
-TEST(WindowBudget, BoundsRepeatsInEveryWindow) {
-  WindowBudget budget(
+TEST(FleetRetryBudget, BoundsRepeatsInEveryWindow) {
+  FleetRetryBudget budget(
       {.window = std::chrono::seconds(10), .share = 0.2, .slack = 6});
   budget.SetHosts(1);
   std::vector<Instant> taken;
@@ -487,12 +494,12 @@
 // A service fails everything at 89 hosts at once, and each of them repeats what
 // it may. All parts of the slack together must stay within it, also when every
 // host is killed and starts again in the window.
-TEST(WindowBudget, PartsOfTheSlackAddUpToNoMoreThanIt) {
+TEST(FleetRetryBudget, PartsOfTheSlackAddUpToNoMoreThanIt) {
   constexpr int kHosts = 89;
   constexpr int kSlack = 218;
   int repeats = 0;
   for (int run = 0; run < 2 * kHosts; ++run) {
-    WindowBudget budget({.share = 0, .slack = kSlack});
+    FleetRetryBudget budget({.share = 0, .slack = kSlack});
     budget.SetHosts(kHosts);
     for (int i = 0; i < kSlack; ++i) {
       repeats += budget.Take(At(1), kService) ? 1 : 0;
@@ -504,8 +511,8 @@
 
 // A host has just started and doesn't know yet how many there are. It spends
 // nothing of the slack that all share, but its own requests allow repeats.
-TEST(WindowBudget, SpendsNoSlackBeforeTheHostsAreListed) {
-  WindowBudget budget({.share = 0.2, .slack = 50});
+TEST(FleetRetryBudget, SpendsNoSlackBeforeTheHostsAreListed) {
+  FleetRetryBudget budget({.share = 0.2, .slack = 50});
   CHECK(!budget.Take(At(1), kService));
   for (int i = 0; i < 5; ++i) {
     budget.OnRequest(At(1), kService);
@@ -548,17 +555,17 @@
                    std::chrono::seconds(5));
   UsageWindows holder({.host = HostId("h2"), .incarnation = 1},
                       std::chrono::seconds(5));
-  one.OnBegun(11000, account);
+  one.OnRequestStarted(11000, account);
   const WindowCopy early = one.OwnCopy(11500);
-  one.OnBegun(12000, account);
+  one.OnRequestStarted(12000, account);
   const WindowCopy late = one.OwnCopy(15100);
-  holder.OnBegun(13000, account);
+  holder.OnRequestStarted(13000, account);
   holder.Merge(late);
   holder.Merge(early);
   holder.Merge(late);
   UsageWindows restarted({.host = HostId("h1"), .incarnation = 2},
                          std::chrono::seconds(5));
-  restarted.OnBegun(14900, account);
+  restarted.OnRequestStarted(14900, account);
   holder.Merge(*DecodeWindowCopy(EncodeWindowCopy(restarted.OwnCopy(16000))));
   LONGS_EQUAL(4, holder.Total(2).at(account));
   CHECK(holder.Knows(HostId("h1"), 2));
@@ -581,8 +588,8 @@
   };
   UsageWindows first = make("h1", 1);
   UsageWindows second = make("h2", 1);
-  first.OnBegun(11000, account);
-  second.OnBegun(12000, account);
+  first.OnRequestStarted(11000, account);
+  second.OnRequestStarted(12000, account);
   (void)first.OwnCopy(12500);
   (void)second.OwnCopy(12500);
   tell(first, second);
@@ -723,9 +730,9 @@
 // Without a bound it wanted twice as many, and half of that counted as needed
 // before it knew the load: dear engines that stood in for others never went.
 TEST(ScalePlan, WantsNoMoreThanAllZonesMayHave) {
-  LONGS_EQUAL(24, EnginesAtFirst(20, Bounds(0.2)));
+  LONGS_EQUAL(24, InitialEngines(20, Bounds(0.2)));
   LONGS_EQUAL(24, EnginesWanted(1000, 1, Bounds(0.2)));
-  LONGS_EQUAL(10, EnginesAtFirst(5, Bounds(0.2)));
+  LONGS_EQUAL(10, InitialEngines(5, Bounds(0.2)));
 }
 
 // Where a spot engine costs nearly as much, none is used.
--- a/tests/fleet_topology_test.cc
+++ b/tests/fleet_topology_test.cc
@@ -115,8 +115,9 @@
   for (const FleetHost& host : few) {
     linked.insert(host.id);
   }
-  for (const FleetHost& host : PickSchedulers(
-           self, Zone("a", 12, 0), {.linked = linked}, {.far_links = 0})) {
+  for (const FleetHost& host :
+       PickSchedulers(self, Zone("a", 12, 0), {.linked = linked},
+                      {.other_zone_links = 0})) {
     CHECK(linked.contains(host.id));
   }
 }
@@ -179,7 +180,7 @@
   for (int i = 0; i < 60; ++i) {
     const FleetHost self = Host("a-" + std::to_string(i), "a", 120);
     for (const FleetHost& one :
-         PickSchedulers(self, other, {}, {.near_links = 0})) {
+         PickSchedulers(self, other, {}, {.own_zone_links = 0})) {
       ++picks[one.id];
     }
   }
--- a/tests/gateway_bed.h
+++ b/tests/gateway_bed.h
@@ -49,7 +49,7 @@
   }
 
   // Starts an exchange; the future gives its end.
-  std::future<CallerAnswer> Start(HttpOutgoing outgoing) {
+  std::future<CallerAnswer> Start(HttpClientRequest outgoing) {
     auto answer = std::make_shared<CallerAnswer>();
     auto done = std::make_shared<std::promise<CallerAnswer>>();
     this->task.Call([&] {
@@ -57,7 +57,7 @@
       this->last = this->client->Send(
           std::move(outgoing),
           {.on_head =
-               [answer](const HttpAnswerHead& head) {
+               [answer](const HttpResponseHead& head) {
                  answer->status = head.status;
                  answer->headers = head.headers;
                },
@@ -72,7 +72,7 @@
     return done->get_future();
   }
 
-  CallerAnswer Send(HttpOutgoing outgoing) {
+  CallerAnswer Send(HttpClientRequest outgoing) {
     return this->Start(std::move(outgoing)).get();
   }
 
@@ -186,10 +186,10 @@
   }
 
   // A call with a key.
-  HttpOutgoing Outgoing(const std::string& method,
-                        const std::string& target,
-                        const std::string& body = "",
-                        const std::string& key = kKey) const {
+  HttpClientRequest Outgoing(const std::string& method,
+                             const std::string& target,
+                             const std::string& body = "",
+                             const std::string& key = kKey) const {
     return {.address = this->address,
             .method = method,
             .target = target,
@@ -200,9 +200,9 @@
   }
 
   // A chat call for some tokens.
-  HttpOutgoing Chat(const std::string& prompt,
-                    bool stream,
-                    int tokens = 8) const {
+  HttpClientRequest Chat(const std::string& prompt,
+                         bool stream,
+                         int tokens = 8) const {
     return this->Outgoing(
         "POST", "/v1/chat/completions",
         R"({"model":"m","max_tokens":)" + std::to_string(tokens) +
@@ -240,7 +240,7 @@
   bool hold_tokens = false;
   int64_t charged_tokens = 0;  // taken and not given back
   int64_t cancelled_asks = 0;
-  LimitAsk last_ask;
+  LimitRequest last_ask;
 
  private:
   void AddAccount(const std::string& id, const char* key) {
@@ -288,7 +288,7 @@
               this->usage.push_back(record);
             },
         .take_tokens =
-            [this](const RequestId&, const LimitAsk& ask,
+            [this](const RequestId&, const LimitRequest& ask,
                    const std::function<void(const LimitDecision&)>& done) {
               this->last_ask = ask;
               const auto answer = [this, cost = ask.cost, done] {
@@ -303,10 +303,9 @@
               }
             },
         .cancel_tokens = [this](const RequestId&) { ++this->cancelled_asks; },
-        .give_back_tokens =
-            [this](const AccountId&, LimitUnit, int64_t cost) {
-              this->charged_tokens -= cost;
-            }};
+        .return_tokens = [this](
+                             const AccountId&, LimitUnit,
+                             int64_t cost) { this->charged_tokens -= cost; }};
   }
 };
 
--- a/tests/gateway_test.cc
+++ b/tests/gateway_test.cc
@@ -264,7 +264,7 @@
   bed.AddPlain("p1", first.Address());
   bed.AddPlain("p2", second.Address());
   first.SetFault(PlainFault::kCrashAfterRun);
-  const HttpOutgoing call =
+  const HttpClientRequest call =
       bed.Outgoing("POST", "/services/filing/petitions", "{\"p\":1}");
   const CallerAnswer answer = bed.caller.Send(call);
   LONGS_EQUAL(504, answer.status);
@@ -318,7 +318,7 @@
   FakePlainService service;
   GatewayBed bed;
   bed.AddPlain("p1", nobody);
-  const HttpOutgoing call =
+  const HttpClientRequest call =
       bed.Outgoing("POST", "/services/filing/petitions", "{\"p\":1}");
   const CallerAnswer answer = bed.caller.Send(call);
   LONGS_EQUAL(503, answer.status);
@@ -348,9 +348,9 @@
   FakePlainService service;
   GatewayBed bed;
   bed.AddPlain("p1", service.Address());
-  HttpOutgoing one =
+  HttpClientRequest one =
       bed.Outgoing("POST", "/services/filing/petitions", "{\"p\":1}");
-  HttpOutgoing two = one;
+  HttpClientRequest two = one;
   one.headers.push_back({"Idempotency-Key", "a"});
   two.headers.push_back({"Idempotency-Key", "b"});
   LONGS_EQUAL(201, bed.caller.Send(one).status);
@@ -413,11 +413,11 @@
   FakeEngine engine;
   GatewayBed bed;
   bed.AddEngine("e1", engine.Address());
-  HttpOutgoing unknown = bed.Chat("x", true);
+  HttpClientRequest unknown = bed.Chat("x", true);
   unknown.headers = {{"Authorization", "Bearer sk-unknown"}};
-  HttpOutgoing none = bed.Chat("x", true);
+  HttpClientRequest none = bed.Chat("x", true);
   none.headers = {};
-  for (const HttpOutgoing& call : {unknown, none}) {
+  for (const HttpClientRequest& call : {unknown, none}) {
     const CallerAnswer answer = bed.caller.Send(call);
     LONGS_EQUAL(401, answer.status);
     STRCMP_EQUAL("invalid_api_key", ErrorCode(answer).c_str());
@@ -436,7 +436,7 @@
   bed.AddEngine("e1", engine.Address());
   bed.AddPlain("p1", service.Address());
   const std::string key = GatewayBed::kKey;
-  HttpOutgoing get = bed.Outgoing("GET", "/services/filing/petitions");
+  HttpClientRequest get = bed.Outgoing("GET", "/services/filing/petitions");
   get.headers.push_back({"Cookie", "session=" + key});
   get.headers.push_back({"X-Api-Key", key});
   get.headers.push_back({"X-Something", "t " + key});
@@ -468,7 +468,7 @@
   FakeEngine engine;
   GatewayBed bed;
   auto withdrawn = bed.caller.Start(bed.Chat("late", true));
-  HttpOutgoing other = bed.Chat("fine", true);
+  HttpClientRequest other = bed.Chat("fine", true);
   other.headers = {
       {"Authorization", std::string("Bearer ") + GatewayBed::kOtherKey}};
   auto kept = bed.caller.Start(other);
@@ -490,7 +490,7 @@
 TEST(GatewayQueue, WithoutTheSecondCheckAWithdrawnKeyRuns) {
   FakeEngine engine;
   GatewayOptions options;
-  options.driver.check_keys_again = false;
+  options.driver.recheck_keys = false;
   GatewayBed bed(options);
   auto withdrawn = bed.caller.Start(bed.Chat("late", true));
   CHECK(Eventually([&] {
@@ -559,7 +559,7 @@
   constexpr size_t kBytes = 24'000'000;
   FakePlainService service;
   GatewayOptions options;
-  options.hold_bytes = 2 * kBytes;
+  options.max_buffered_bytes = 2 * kBytes;
   GatewayBed bed(options);
   bed.AddPlain("p1", service.Address());
   RawSocket slow(bed.address);
@@ -585,7 +585,7 @@
   GatewayBed bed;
   bed.AddEngine("e1", engine.Address());
   RawSocket half(bed.address);
-  const HttpOutgoing call = bed.Chat("late", true);
+  const HttpClientRequest call = bed.Chat("late", true);
   half.Write(RawHead(call.method, call.target, call.body.size(),
                      "Expect: 100-continue\r\n"));
   STRCMP_CONTAINS("100 Continue", half.ReadUntil("\r\n\r\n").c_str());
@@ -614,7 +614,7 @@
   options.dispatcher = "hickorystand";
   GatewayBed bed(options);
   bed.AddEngine("e1", engine.Address());
-  HttpOutgoing batch = bed.Chat("long", true, 40);
+  HttpClientRequest batch = bed.Chat("long", true, 40);
   batch.body.insert(1, R"("service_tier":"flex",)");
   for (int i = 0; i < kRequests; ++i) {
     bed.caller.Start(batch);
@@ -740,7 +740,7 @@
            {"retry_after_ms", "1500"}}) {
     CHECK(std::ranges::count(fields, field) == 1);
   }
-  HttpOutgoing other = bed.Chat("x", false);
+  HttpClientRequest other = bed.Chat("x", false);
   other.headers = {
       {"Authorization", std::string("Bearer ") + GatewayBed::kOtherKey}};
   LONGS_EQUAL(200, bed.caller.Send(other).status);
--- a/tests/host_bed.h
+++ b/tests/host_bed.h
@@ -50,10 +50,10 @@
   }
 
   // A call to a host's gateway.
-  HttpOutgoing Call(int host,
-                    const std::string& method,
-                    const std::string& target,
-                    const std::string& body = "") const {
+  HttpClientRequest Call(int host,
+                         const std::string& method,
+                         const std::string& target,
+                         const std::string& body = "") const {
     return {.address = this->hosts.at(host)->GatewayAddress(),
             .method = method,
             .target = target,
@@ -65,10 +65,10 @@
 
   // A chat answer of some tokens; `more` goes into the body, for example
   // R"("stream":true,)".
-  HttpOutgoing Chat(int host,
-                    int tokens,
-                    const std::string& more = "",
-                    const std::string& model = "m") const {
+  HttpClientRequest Chat(int host,
+                         int tokens,
+                         const std::string& more = "",
+                         const std::string& model = "m") const {
     return this->Call(host, "POST", "/v1/chat/completions",
                       "{" + more + R"("model":")" + model +
                           R"(","max_tokens":)" + std::to_string(tokens) +
@@ -76,10 +76,10 @@
   }
 
   // A call to a host's page for operators.
-  HttpOutgoing Admin(int host,
-                     const std::string& method,
-                     const std::string& target,
-                     const std::string& token = kToken) const {
+  HttpClientRequest Admin(int host,
+                          const std::string& method,
+                          const std::string& target,
+                          const std::string& token = kToken) const {
     return {.address = this->hosts.at(host)->AdminAddress(),
             .method = method,
             .target = target,
--- a/tests/http_test.cc
+++ b/tests/http_test.cc
@@ -35,7 +35,7 @@
     this->server_task.Call([&] { this->server.reset(); });
   }
 
-  Outcome Send(HttpOutgoing outgoing) {
+  Outcome Send(HttpClientRequest outgoing) {
     std::promise<Outcome> done;
     auto outcome = std::make_shared<Outcome>();
     outgoing.address = this->address;
@@ -43,7 +43,7 @@
       this->client->Send(
           std::move(outgoing),
           {.on_head =
-               [outcome](const HttpAnswerHead& head) {
+               [outcome](const HttpResponseHead& head) {
                  outcome->status = head.status;
                  outcome->headers = head.headers;
                },
--- a/tests/lease_release_test.cc
+++ b/tests/lease_release_test.cc
@@ -255,7 +255,7 @@
 
 // Guards against a tenure that ends before its own wait is over.
 TEST(DutyTenure, PassesOnTheRestOfItsWait) {
-  tenure.OnTaken(At(0), kLength);
+  tenure.OnLeaseAcquired(At(0), kLength);
   CHECK(!tenure.MayAct(At(2.9)));
   CHECK(tenure.MayAct(At(3)));
   CHECK(tenure.SuccessorWait(At(1)) == seconds(2));
@@ -264,7 +264,7 @@
 
 // Guards against calls that arrive after the next holder has begun.
 TEST(DutyTenure, SuccessorsWaitForUnansweredCalls) {
-  tenure.OnTaken(At(0), {});
+  tenure.OnLeaseAcquired(At(0), {});
   tenure.OnCallEnded(At(0.1), tenure.OnCallStarted(At(0)), CallEnd::kAnswered);
   const uint64_t lost = tenure.OnCallStarted(At(5));
   CHECK(!tenure.Idle());
@@ -280,11 +280,11 @@
 
 // Guards against two hosts that act by turns within a lease's length.
 TEST(DutyTenure, SuccessorsOfAShortTenureWaitForTheRest) {
-  tenure.OnTaken(At(0), {});
+  tenure.OnLeaseAcquired(At(0), {});
   CHECK(tenure.SuccessorWait(At(1)) == Duration{});
   tenure.OnCallEnded(At(1.1), tenure.OnCallStarted(At(1)), CallEnd::kAnswered);
   CHECK(tenure.SuccessorWait(At(2)) == seconds(2));
-  tenure.OnTaken(At(10), {});
+  tenure.OnLeaseAcquired(At(10), {});
   CHECK(tenure.SuccessorWait(At(10)) == Duration{});
 }
 
@@ -477,7 +477,7 @@
     if (host.held) {
       const auto& released = host.lease->Released();
       this->immediate += released && released->wait < kLength ? 1 : 0;
-      host.tenure->OnTaken(clock, released ? released->wait : kLength);
+      host.tenure->OnLeaseAcquired(clock, released ? released->wait : kLength);
     } else {
       host.tenure->OnCallsCancelled(clock);
     }
--- a/tests/limits_test.cc
+++ b/tests/limits_test.cc
@@ -27,7 +27,7 @@
   return {.rate = rate,
           .burst = rate,
           .unit = LimitUnit::kTokens,
-          .plain_tokens = 200};
+          .default_tokens = 200};
 }
 
 AccountLimits Limits() {
@@ -105,7 +105,7 @@
 // set in a fleet whose hosts aren't all linked.
 TEST(LimitShares, HostsOfTheFirstRecordDoNotWaitForEachOther) {
   LimitWorldOptions options = World(6);
-  options.shares.names_listed = true;
+  options.shares.seed_listed_hosts = true;
   LimitWorld world(options);
   for (int one = 0; one < 6; ++one) {
     for (int other = 0; other < one; ++other) {
@@ -592,7 +592,7 @@
 TEST(LimitProperties, NoFaultLetsAnAccountPassItsLimitWhereAllHostsHoldAShare) {
   CHECK(rc::check(
       "limits hold where the first record names all",
-      [](uint32_t seed) { CheckLimits(seed, {.names_listed = true}); }));
+      [](uint32_t seed) { CheckLimits(seed, {.seed_listed_hosts = true}); }));
 }
 
 }  // namespace hickorystand
--- a/tests/membership_test.cc
+++ b/tests/membership_test.cc
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "decisions/digest_delta.h"
-#include "decisions/endpoint_board.h"
+#include "decisions/endpoint_status_table.h"
 #include "decisions/membership.h"
 
 namespace hickorystand {
@@ -60,7 +60,8 @@
 
   void Hear(const std::string& id, uint64_t incarnation = 1,
             bool leaving = false) {
-    this->members.OnHeard(this->now, HostId(id), kHere, incarnation, leaving);
+    this->members.OnHostMessage(this->now, HostId(id), kHere, incarnation,
+                                leaving);
   }
 
   HostState State(const std::string& id) {
@@ -82,11 +83,13 @@
 // hold a watch or be anybody's deputy, though links to it go on being tried.
 TEST(Membership, AListedHostThatIsSilentIsTrustedWithNothing) {
   this->members.OnHostList(this->now, List({Host("a"), Host("c")}));
-  CHECK((Ids(this->members.Fit(this->now, kHere)) == Texts{"a", "b", "c"}));
+  CHECK((Ids(this->members.EligibleHosts(this->now, kHere)) ==
+         Texts{"a", "b", "c"}));
   this->now += seconds(60);
   this->Hear("c");
   CHECK(this->State("a") == HostState::kSuspected);
-  CHECK((Ids(this->members.Fit(this->now, kHere)) == Texts{"b", "c"}));
+  CHECK(
+      (Ids(this->members.EligibleHosts(this->now, kHere)) == Texts{"b", "c"}));
   CHECK((Ids(this->members.Links(this->now)) == Texts{"a", "c"}));
 }
 
@@ -106,9 +109,9 @@
 // With the rule switched off, the late message brings the host back to life.
 TEST(Membership, WithoutTheRuleALateMessageUndoesLeaving) {
   Membership without{
-      {.self = Host("b"), .incarnation = 5, .leaving_wins = false}};
-  without.OnHeard(this->now, HostId("a"), kHere, 1, true);
-  without.OnHeard(this->now, HostId("a"), kHere, 1, false);
+      {.self = Host("b"), .incarnation = 5, .leaving_is_final = false}};
+  without.OnHostMessage(this->now, HostId("a"), kHere, 1, true);
+  without.OnHostMessage(this->now, HostId("a"), kHere, 1, false);
   CHECK(without.StateOf(this->now, HostId("a")) == HostState::kLive);
 }
 
@@ -142,8 +145,8 @@
 // it says is dropped, or its old counters would stand for the new process.
 TEST(Membership, TheHigherIncarnationWins) {
   const auto hear = [&](uint64_t incarnation) {
-    return this->members.OnHeard(this->now, HostId("a"), kHere, incarnation,
-                                 false);
+    return this->members.OnHostMessage(this->now, HostId("a"), kHere,
+                                       incarnation, false);
   };
   CHECK(hear(7) == Heard::kCurrent);
   CHECK(hear(6) == Heard::kSuperseded);
@@ -153,9 +156,9 @@
 // This host itself was replaced while it was paused: a newer process bears its
 // id. It finds out and can drain.
 TEST(Membership, NoticesThatItWasReplaced) {
-  this->members.OnHeard(this->now, HostId("b"), kHere, 4, false);
+  this->members.OnHostMessage(this->now, HostId("b"), kHere, 4, false);
   CHECK(!this->members.Superseded());
-  CHECK(this->members.OnHeard(this->now, HostId("b"), kHere, 6, false) ==
+  CHECK(this->members.OnHostMessage(this->now, HostId("b"), kHere, 6, false) ==
         Heard::kSelf);
   CHECK(this->members.Superseded());
 }
@@ -170,10 +173,11 @@
   }
   this->Hear("a");
   CHECK(this->State("a") == HostState::kLive);
-  CHECK((Ids(this->members.Fit(this->now, kHere)) == Texts{"b"}));
+  CHECK((Ids(this->members.EligibleHosts(this->now, kHere)) == Texts{"b"}));
   this->now += seconds(60);
   this->Hear("a");
-  CHECK((Ids(this->members.Fit(this->now, kHere)) == Texts{"a", "b"}));
+  CHECK(
+      (Ids(this->members.EligibleHosts(this->now, kHere)) == Texts{"a", "b"}));
 }
 
 // A and B can't hear each other, but C hears both. Then B and C both hold what
@@ -186,7 +190,7 @@
     hosts.back().OnHostList(this->now, List({Host("a"), Host("b"), Host("c")}));
   }
   const auto hear = [&](int to, const std::string& from) {
-    hosts[to].OnHeard(this->now, HostId(from), kHere, 1, false);
+    hosts[to].OnHostMessage(this->now, HostId(from), kHere, 1, false);
   };
   for (int i = 0; i < 20; ++i) {
     this->now += seconds(1);
@@ -250,8 +254,8 @@
   LONGS_EQUAL(kNoRank, this->members.Rank(this->now));
 }
 
-TEST_GROUP(EndpointBoard) {
-  EndpointBoard board;
+TEST_GROUP(EndpointStatusTable) {
+  EndpointStatusTable board;
   const EndpointId endpoint{"e1"};
   const HostId a{"a"};
   const HostId b{"b"};
@@ -266,11 +270,11 @@
 
 // An endpoint leaves. Another host, whose report of it is older, still says
 // that it is fine. It gets no new work until it starts anew.
-TEST(EndpointBoard, LeavingIsFinalWithinAnIncarnation) {
+TEST(EndpointStatusTable, LeavingIsFinalWithinAnIncarnation) {
   this->board.OnNews(this->a, this->News(3, true, false));
   this->board.OnNews(this->b, this->News(3, false, false));
   this->board.OnNews(this->a, std::vector<EndpointNews>{});
-  this->board.OnHostGone(this->a);
+  this->board.OnHostLost(this->a);
   this->board.OnAlive(this->endpoint, 3);
   CHECK(this->board.Out(this->endpoint));
   this->board.OnNews(this->b, this->News(2, false, false));
@@ -282,7 +286,7 @@
 // A host loses its way to every endpoint and says that they are all down. Were
 // it believed for good, the whole fleet would refuse its callers. Each host
 // believes it only until it hears from the endpoint itself.
-TEST(EndpointBoard, OneHostsBadViewDoesNotStopTheOthers) {
+TEST(EndpointStatusTable, OneHostsBadViewDoesNotStopTheOthers) {
   this->board.OnNews(this->a, this->News(3, false, true));
   CHECK(this->board.Out(this->endpoint));
   this->board.OnAlive(this->endpoint, 3);
@@ -293,23 +297,23 @@
   CHECK(this->board.Out(this->endpoint));
 }
 
-TEST(EndpointBoard, DownEndsWhenItIsTakenBackOrItsTellerIsGone) {
+TEST(EndpointStatusTable, DownEndsWhenItIsTakenBackOrItsTellerIsGone) {
   this->board.OnNews(this->a, this->News(3, false, true));
   this->board.OnNews(this->b, this->News(3, false, true));
   this->board.OnNews(this->a, std::vector<EndpointNews>{});
   CHECK(this->board.Out(this->endpoint));
-  this->board.OnHostGone(this->b);
+  this->board.OnHostLost(this->b);
   CHECK(!this->board.Out(this->endpoint));
 }
 
 // One host sees that an endpoint leaves, and the digest that says so is lost
 // on the way to some of the others. They must all keep new work away from it
 // after the second digest.
-TEST(EndpointBoard, AllKnowWithinTwoDigests) {
+TEST(EndpointStatusTable, AllKnowWithinTwoDigests) {
   constexpr int kHosts = 16;
   DigestSender sender;
   std::vector<DigestReceiver> receivers(kHosts);
-  std::vector<EndpointBoard> boards(kHosts);
+  std::vector<EndpointStatusTable> boards(kHosts);
   Digest digest;
   digest.host = this->a;
   digest.incarnation = 1;
@@ -328,7 +332,7 @@
     }
   };
   const auto out = [&] {
-    return std::ranges::count_if(boards, [&](const EndpointBoard& one) {
+    return std::ranges::count_if(boards, [&](const EndpointStatusTable& one) {
       return one.Out(this->endpoint);
     });
   };
--- a/tests/peers_test.cc
+++ b/tests/peers_test.cc
@@ -157,7 +157,7 @@
                     this->answer(from, message);
                   }
                 },
-            .on_heard = {},
+            .on_activity = {},
             .on_up =
                 [this](const HostId& host, uint64_t peer_incarnation) {
                   this->Note([&] { this->up[host] = peer_incarnation; });
@@ -256,7 +256,7 @@
 
  private:
   std::string ReadFrame() {
-    FrameReader reader(kMaxFrame);
+    FrameReader reader(kMaxFrameBytes);
     std::array<char, 1024> chunk{};
     while (true) {
       const gssize got = g_socket_receive(this->socket, chunk.data(),
@@ -709,7 +709,7 @@
     stream += SealFrame("key", "context", std::string(size, 'p'));
   }
   for (size_t step = 1; step < stream.size(); step += 13) {
-    FrameReader reader(kMaxFrame);
+    FrameReader reader(kMaxFrameBytes);
     std::vector<size_t> sizes;
     for (size_t at = 0; at < stream.size(); at += step) {
       reader.Feed(std::string_view(stream).substr(at, step));
@@ -718,7 +718,7 @@
       }
     }
     CHECK((sizes == std::vector<size_t>{1, 300, 17}));
-    LONGS_EQUAL(0, reader.Buffered());
+    LONGS_EQUAL(0, reader.BufferedBytes());
   }
 }
 
