--- a/tests/policy_parts_test.cc
+++ b/tests/policy_parts_test.cc
@@ -101,14 +101,14 @@
 // One account sends nine times what the other sends. First come, first served
 // gives the small one a tenth, and its members walk away.
 TEST(Admission, FloodDoesNotStarveTheSmallAccount) {
-  LONGS_EQUAL(50, ServeContended({.idle_credit = 0}, 100, 9));
+  LONGS_EQUAL(50, ServeContended({.idle_credit_tokens = 0}, 100, 9));
   CHECK(ServeContended({.fair = false}, 100, 9) <= 11);
 }
 
 // An account is idle all night. With its credit saved up, it would then shut
 // everybody else out for as long as it likes.
 TEST(Admission, IdleAccountSavesUpLittle) {
-  Admission admission({.idle_credit = 3000});
+  Admission admission({.idle_credit_tokens = 3000});
   admission.OnConfiguration(*TwoAccounts());
   int64_t next = 0;
   const auto add = [&](const std::string& account) {
@@ -141,7 +141,7 @@
 // The other entry hosts have served an account a lot already. A host that only
 // counts for itself would give it a full share on top.
 TEST(Admission, CountsWhatPeersHaveServed) {
-  Admission admission({.idle_credit = 0});
+  Admission admission({.idle_credit_tokens = 0});
   admission.OnConfiguration(*TwoAccounts());
   const auto tell = [&](uint64_t sequence, int64_t cost) {
     admission.OnDigest({.host = HostId("h2"),
@@ -347,7 +347,7 @@
   cache.Apply(
       {.incarnation = 1, .sequence = 4, .snapshot = true, .added = {1, 2}});
   DOUBLES_EQUAL(0.5, cache.HitShare({1, 2, 3, 4}), 0.001);
-  CHECK(cache.Sure());
+  CHECK(cache.InSync());
 }
 
 TEST(PrefixCache, MemoryIsBounded) {
@@ -378,8 +378,8 @@
   Suspects suspects;
   suspects.OnCrash(At(0), ZoneId("z1"), {1, 2});
   suspects.OnPeer(At(0), HostId("h2"), {{1, 1}});
-  CHECK(suspects.IsCondemned(At(0), 1));
-  CHECK(!suspects.IsCondemned(At(0), 2));
+  CHECK(suspects.IsBlocked(At(0), 1));
+  CHECK(!suspects.IsBlocked(At(0), 2));
   suspects.OnAnswered(2);
   CHECK(!suspects.IsSuspected(At(0), 2));
 }
@@ -392,9 +392,9 @@
   Planner planner(kModel, Rates());
   Feed(planner, 0, 600, 1, 14);
   const auto wishes =
-      planner.RoleWishes(At(600), Engines(18, EndpointRole::kPrefill));
+      planner.ProposeRoleChanges(At(600), Engines(18, EndpointRole::kPrefill));
   CHECK(!wishes.empty() && wishes.size() <= 3);
-  for (const PlacementWish& wish : wishes) {
+  for (const PlacementProposal& wish : wishes) {
     STRCMP_EQUAL("decode", wish.argument.c_str());
   }
 }
@@ -415,7 +415,8 @@
   for (int swing = 0; swing < 20; ++swing) {
     now = Feed(planner, now, 60, swing % 2 == 0 ? 13 : 2,
                swing % 2 == 0 ? 2 : 10);
-    for (const PlacementWish& wish : planner.RoleWishes(At(now), endpoints)) {
+    for (const PlacementProposal& wish :
+         planner.ProposeRoleChanges(At(now), endpoints)) {
       changes += 1;
       const auto changed =
           std::ranges::find_if(endpoints, [&](const EndpointState& state) {
@@ -440,7 +441,7 @@
   double now = Feed(planner, 0, 600, 1, 1);
   for (int i = 0; i < 60; ++i) {
     now = Feed(planner, now, 70, 1, 1);
-    const auto wish = planner.NextCapacityWish(At(now), endpoints, 2, 18);
+    const auto wish = planner.ProposeCapacityChange(At(now), endpoints, 2, 18);
     if (!wish) {
       continue;
     }
@@ -463,9 +464,9 @@
 // faster than it can deliver, and every load would be late.
 TEST(Placement, LoadsKeepToTheWeightStoresRate) {
   Planner planner(kModel, Rates());
-  CHECK(planner.MayLoadModel(At(0)));
-  CHECK(!planner.MayLoadModel(At(29)));
-  CHECK(planner.MayLoadModel(At(30)));
+  CHECK(planner.TryStartModelLoad(At(0)));
+  CHECK(!planner.TryStartModelLoad(At(29)));
+  CHECK(planner.TryStartModelLoad(At(30)));
 }
 
 }  // namespace hickorystand
--- a/tests/promise_host.cc
+++ b/tests/promise_host.cc
@@ -387,7 +387,7 @@
       });
 }
 
-void ModelHost::Run(const TellReleased& action) {
+void ModelHost::Run(const SendReleaseNotice& action) {
   this->TellPeers([release = action.release](ModelHost& peer) {
     peer.Tell([&](CoordinatorActions& wanted) {
       peer.coordinator.OnReleased(peer.Clock(), release, wanted);
--- a/tests/promise_host.h
+++ b/tests/promise_host.h
@@ -72,7 +72,7 @@
   void Run(const SendOrder& action);
   void Run(const SendEndpointOrder& action);
   void Run(const SendUsageReport& action);
-  void Run(const TellReleased& action);
+  void Run(const SendReleaseNotice& action);
   void Answer(const AnswerClaim& answer);
   void SendFiling(const RequestId& request, Fault fault);
 
@@ -103,7 +103,7 @@
   uint64_t incarnation;
   HostClock clock;
   Coordinator coordinator;
-  ClaimBook claims;
+  ClaimManager claims;
   UsageMeter meter;
   std::map<RequestId, Filing> pending;
   bool alive = true;
--- a/tests/promise_world.cc
+++ b/tests/promise_world.cc
@@ -59,7 +59,7 @@
 WorldOptions MatrixOptions() {
   WorldOptions options;
   options.coordinator.window_length = seconds(5);
-  options.coordinator.unlisted_for = seconds(8);
+  options.coordinator.unlisted_timeout = seconds(8);
   options.loss = 0.02;
   options.delay = 0.05;
   return options;
@@ -68,7 +68,7 @@
 WorldOptions SoakOptions(uint64_t seed) {
   WorldOptions options = MatrixOptions();
   options.seed = seed;
-  options.coordinator.forget_after = seconds(60);
+  options.coordinator.usage_retention = seconds(60);
   options.fault_every = 4;
   options.length = seconds(360);
   options.drain_at = seconds(100);
--- a/tests/replica_test.cc
+++ b/tests/replica_test.cc
@@ -393,7 +393,7 @@
 }
 
 TEST(Replica, WouldRevertWithoutRefusingLowerRevisions) {
-  Bed bed(3, {.refuse_lower = false});
+  Bed bed(3, {.reject_lower = false});
   RestoreOlder(bed);
   CHECK(bed.reverted);
 }
@@ -428,7 +428,7 @@
 }
 
 TEST(Replica, WouldMixAForkWithoutComparingHistories) {
-  Bed bed(3, {.compare_history = false});
+  Bed bed(3, {.check_history = false});
   Fork(bed);
   CHECK(std::ranges::any_of(bed.hosts, [](const auto& item) {
     return item.second.replica->InForce()->accounts.contains(AccountId("lost"));
@@ -477,7 +477,7 @@
               .empty());
   }
   LONGS_EQUAL(1, replica.Revision());
-  LONGS_EQUAL(5, replica.Counts().broken_ignored);
+  LONGS_EQUAL(5, replica.Counts().invalid_ignored);
 }
 
 // An hour of one data centre with every fault at any time: outages, silent
@@ -537,7 +537,7 @@
 }
 
 TEST(Replica, HourOfFaultsRevertsWithoutRefusingLowerRevisions) {
-  Bed bed(4, {.refuse_lower = false});
+  Bed bed(4, {.reject_lower = false});
   RunHourOfFaults(1, bed);
   CHECK(bed.reverted);
 }
--- a/tests/stop_decisions_test.cc
+++ b/tests/stop_decisions_test.cc
@@ -42,30 +42,31 @@
 // answers end in time.
 TEST(StopSchedule, TakesWhatEndsInTime) {
   const auto stop = StopSchedule::From(kStart, seconds(8));
-  CHECK(stop.MayTake(kStart, {.limit = seconds(15), .expected = seconds(5)}));
-  CHECK(stop.MayTake(kStart + seconds(2),
-                     {.limit = seconds(15), .expected = seconds(4)}));
-  CHECK(stop.MayTake(kStart + seconds(6), {.limit = milliseconds(1500)}));
+  CHECK(stop.MayAccept(kStart, {.limit = seconds(15), .expected = seconds(5)}));
+  CHECK(stop.MayAccept(kStart + seconds(2),
+                       {.limit = seconds(15), .expected = seconds(4)}));
+  CHECK(stop.MayAccept(kStart + seconds(6), {.limit = milliseconds(1500)}));
 }
 
 // Guards against answers that are cut when the process ends.
 TEST(StopSchedule, RefusesWhatMayOutlastIt) {
   const auto stop = StopSchedule::From(kStart, seconds(8));
-  CHECK(!stop.MayTake(kStart, {.limit = seconds(15)}));
-  CHECK(!stop.MayTake(kStart, {.limit = seconds(15), .expected = seconds(7)}));
-  CHECK(!stop.MayTake(kStart + seconds(2),
-                      {.limit = seconds(15), .expected = seconds(5)}));
-  CHECK(!stop.MayTake(kStart + seconds(6), {.limit = milliseconds(1501)}));
+  CHECK(!stop.MayAccept(kStart, {.limit = seconds(15)}));
+  CHECK(
+      !stop.MayAccept(kStart, {.limit = seconds(15), .expected = seconds(7)}));
+  CHECK(!stop.MayAccept(kStart + seconds(2),
+                        {.limit = seconds(15), .expected = seconds(5)}));
+  CHECK(!stop.MayAccept(kStart + seconds(6), {.limit = milliseconds(1501)}));
 }
 
 // Guards against an estimate that decides when callers have had the time to go
 // elsewhere.
 TEST(StopSchedule, NeedsCertaintyAfterTheTimeForTakingRequests) {
   const auto stop = StopSchedule::From(kStart, seconds(8));
-  const AnswerNeed need{.limit = seconds(15), .expected = milliseconds(10)};
-  CHECK(stop.MayTake(stop.takes_until - milliseconds(1), need));
-  CHECK(!stop.MayTake(stop.takes_until, need));
-  CHECK(stop.takes_until < kStart + seconds(3));
+  const AnswerDuration need{.limit = seconds(15), .expected = milliseconds(10)};
+  CHECK(stop.MayAccept(stop.accept_until - milliseconds(1), need));
+  CHECK(!stop.MayAccept(stop.accept_until, need));
+  CHECK(stop.accept_until < kStart + seconds(3));
 }
 
 // Guards against a process that is killed before it has answered, whatever the
@@ -76,7 +77,7 @@
         Duration(seconds(600))}) {
     const auto stop = StopSchedule::From(kStart, grace);
     CHECK(stop.finish_by > kStart && stop.finish_by < kStart + grace);
-    CHECK(stop.takes_until <= stop.finish_by);
+    CHECK(stop.accept_until <= stop.finish_by);
   }
 }
 
@@ -88,7 +89,7 @@
   const auto kind = AnswerKind::Of("r", 100);
   const Instant now =
       AddAnswers(times, kind, kStart, 80, seconds(1), seconds(5));
-  CheckNear(milliseconds(4800), times.Longest(now, kind));
+  CheckNear(milliseconds(4800), times.P95(now, kind));
 }
 
 // Guards against estimates from before a slowdown, or after it.
@@ -97,10 +98,10 @@
   const auto kind = AnswerKind::Of("r", 100);
   Instant now = AddAnswers(times, kind, kStart, 100, seconds(1), seconds(1));
   now = AddAnswers(times, kind, now, 30, seconds(3), seconds(3));
-  CheckNear(seconds(3), times.Longest(now, kind));
+  CheckNear(seconds(3), times.P95(now, kind));
   now = AddAnswers(times, kind, now, 300, seconds(1), seconds(1));
-  CheckNear(seconds(1), times.Longest(now, kind));
-  CHECK(!times.Longest(now + seconds(60), kind).has_value());
+  CheckNear(seconds(1), times.P95(now, kind));
+  CHECK(!times.P95(now + seconds(60), kind).has_value());
 }
 
 // Guards against refusing every answer of a size that is seldom asked for.
@@ -108,9 +109,9 @@
   AnswerTimes times;
   const Instant now = AddAnswers(times, AnswerKind::Of("r", 100), kStart, 10,
                                  seconds(1), seconds(1));
-  CheckNear(seconds(2), times.Longest(now, AnswerKind::Of("r", 200)));
-  CheckNear(seconds(1), times.Longest(now, AnswerKind::Of("r", 20)));
-  CHECK(!times.Longest(now, AnswerKind::Of("other", 100)).has_value());
+  CheckNear(seconds(2), times.P95(now, AnswerKind::Of("r", 200)));
+  CheckNear(seconds(1), times.P95(now, AnswerKind::Of("r", 20)));
+  CHECK(!times.P95(now, AnswerKind::Of("other", 100)).has_value());
 }
 
 }  // namespace hickorystand
