--- a/tests/fleet_decisions_test.cc
+++ b/tests/fleet_decisions_test.cc
@@ -1,4 +1,5 @@
-// The pure decisions of a fleet host: placing, budgets, usage, roles, scale.
+// Tests of a fleet host's pure decisions: placement, retry budgets, usage
+// windows, engine roles and scaling.
 
 #include <CppUTest/TestHarness.h>
 
@@ -41,7 +42,7 @@
   return fleet;
 }
 
-// Two engines that read and two that generate.
+// Two prefill engines and two decode engines.
 FleetEndpoints FourEngines() {
   return Fleet({Engine("r1", EndpointRole::kPrefill),
                 Engine("r2", EndpointRole::kPrefill),
@@ -49,7 +50,7 @@
                 Engine("g2", EndpointRole::kDecode)});
 }
 
-// A prompt of 13,300 shared tokens and 3,700 of its own.
+// A prompt of 13,300 shared tokens and 3,700 tokens of its own.
 RequestProfile LongPrompt(uint64_t shared, uint64_t own) {
   return {.service = kService,
           .engine = true,
@@ -75,8 +76,8 @@
 
 TEST_GROUP(FleetPlacement){};
 
-// Hosts that know nothing must not each read the same long part at another
-// engine: every host chooses the same one.
+// Guards against hosts without cache information that each prefill the same
+// long prompt part on a different engine: all hosts must choose the same one.
 TEST(FleetPlacement, ColdHostsChooseTheSameEngine) {
   const FleetPlacement one = MakePlacement(FourEngines());
   const FleetPlacement other = MakePlacement(FourEngines());
@@ -89,9 +90,10 @@
   }
 }
 
-// One engine keeps a part and has a second of work waiting. Another engine
-// copies the part and reads only what is new, instead of either waiting there
-// or reading 13,300 tokens again.
+// One engine has a prompt part in its cache and a second of queued work.
+// Another engine must copy the part and prefill only the new tokens. The
+// request must neither wait for the busy engine nor prefill the 13,300 tokens
+// again.
 TEST(FleetPlacement, CopiesWhatABusyEngineKeeps) {
   FleetPlacement placement = MakePlacement(FourEngines());
   placement.OnCache(EndpointId("r1"), {.part = 7, .tokens = 13300});
@@ -104,9 +106,9 @@
   LONGS_EQUAL(3700, placed.new_tokens);
 }
 
-// A request was sent to be read and failed. What it would have left must not
-// count as kept: its repeat would be sent there as if there were nothing to
-// read, and wait behind a whole prompt.
+// Guards against counting the cache entries of a failed prefill as present: the
+// retry would be sent to the same engine as if nothing were left to prefill,
+// and would wait for a whole prompt.
 TEST(FleetPlacement, ForgetsWhatWasNeverRead) {
   FleetPlacement placement = MakePlacement(FourEngines());
   const RequestProfile shape = LongPrompt(7, 8);
@@ -117,8 +119,8 @@
   LONGS_EQUAL(17000, placement.NewTokens(EndpointId("r1"), shape));
 }
 
-// What was read stays known after its request has ended, until the engine says
-// that it is gone or another process has its id.
+// A prefilled part counts as cached after its request has ended, until the
+// engine reports its eviction or another process has the engine's id.
 TEST(FleetPlacement, KeepsWhatWasReadUntilTheEngineLosesIt) {
   FleetPlacement placement = MakePlacement(FourEngines());
   const RequestProfile shape = LongPrompt(7, 8);
@@ -135,8 +137,8 @@
   LONGS_EQUAL(17000, placement.NewTokens(EndpointId("r1"), shape));
 }
 
-// An engine works four times as slowly as the other one, and its health is
-// good. After some readings it gets less work.
+// An engine is four times as slow as the other one while its health check
+// succeeds. After some measurements it must receive less work.
 TEST(FleetPlacement, LearnsThatAnEngineIsSlow) {
   FleetPlacement placement =
       MakePlacement(Fleet({Engine("r1", EndpointRole::kPrefill),
@@ -161,8 +163,8 @@
   }
 }
 
-// An endpoint fails three times in a row: it is out for a second, gets one
-// probe, and is out for twice as long when that fails too.
+// An endpoint that fails three times in a row is ejected for one second and
+// then receives one probe. If the probe fails, it is ejected for twice as long.
 TEST(FleetPlacement, EjectsAFailingEndpointAndProbesIt) {
   FleetPlacement placement = MakePlacement(FourEngines());
   const EndpointId bad("g1");
@@ -178,8 +180,8 @@
   CHECK(placement.Usable(At(4.5), bad));
 }
 
-// A leaving endpoint, one that another host holds back, and one whose role is
-// unknown get nothing.
+// An endpoint that is leaving, one that a peer reports as unavailable and one
+// with an unknown role receive no requests.
 TEST(FleetPlacement, LeavesOutWhatMustGetNothing) {
   FleetEndpoints fleet = FourEngines();
   fleet.at(EndpointId("g1")).leaving = true;
@@ -193,8 +195,9 @@
   CHECK(PlacedAt(placement, LongPrompt(1, 2)).reader == EndpointId("r1"));
 }
 
-// All engines have four seconds of work waiting, and the caller gives up after
-// two. It is refused at once, with the time after which there is room.
+// All engines have four seconds of queued work and the caller's timeout is two
+// seconds. The request must be refused at once, with the time after which there
+// is capacity.
 TEST(FleetPlacement, RefusesWhatWouldComeTooLate) {
   FleetPlacement placement = MakePlacement(FourEngines());
   std::vector<EndpointOutstanding> work;
@@ -209,9 +212,10 @@
   CHECK(wait > std::chrono::seconds(1) && wait < std::chrono::seconds(4));
 }
 
-// One host sends an endpoint more than its part of the connections that the
-// endpoint takes from all hosts. The endpoint resets what is beyond, and nobody
-// knows whether those requests ran. They go elsewhere, or are refused.
+// Guards against one host that exceeds its share of an endpoint's connection
+// limit. The endpoint resets connections beyond the limit, and it is unknown
+// whether their requests ran. Such requests must go to another endpoint or be
+// refused.
 TEST(FleetPlacement, KeepsToItsPartOfAnEndpointsConnections) {
   FleetPlacement placement =
       MakePlacement(Fleet({Engine("g1", EndpointRole::kDecode),
@@ -229,8 +233,8 @@
   CHECK(std::holds_alternative<Refused>(placement.Place(At(1), shape, {})));
 }
 
-// An engine with less memory than others: what it can't keep any more must not
-// draw prompts there as if it were.
+// An engine with less memory than others: parts that no longer fit into its
+// cache must not attract prompts as if they were still cached.
 TEST(FleetPlacement, BelievesNoMoreKeptThanAServicesEnginesHold) {
   FleetPlacement placement = MakePlacement(FourEngines());
   const RequestProfile shape = LongPrompt(1, 2);
@@ -241,10 +245,10 @@
   LONGS_EQUAL(17000, placement.NewTokens(engine, shape));
 }
 
-// Bursts ask for more than all engines read. A prompt that would wait behind
-// others for most of its target is refused at once, since a longer
-// queue makes all late and serves nobody more; one prompt that takes long by
-// itself is served however long it is.
+// Bursts exceed the prefill throughput of all engines. A prompt that would
+// spend most of its latency target in a queue must be refused at once, since a
+// longer queue delays all requests and serves no more of them. A prompt that
+// takes long by itself is served whatever its length.
 TEST(FleetPlacement, KeepsItsQueuesShorterThanTheTarget) {
   FleetPlacement placement =
       MakePlacement(Fleet({Engine("r1", EndpointRole::kPrefill),
@@ -270,16 +274,16 @@
   const Duration back = std::get<Refused>(verdict).retry_after;
   CHECK(back > std::chrono::milliseconds(20) &&
         back < std::chrono::milliseconds(60));
-  // A stream that broke midway goes on all the same.
+  // A stream that broke midway is resumed all the same.
   shape.begun = true;
   CHECK(std::holds_alternative<PlacementTarget>(
       placement.Place(At(1), shape, {})));
 }
 
-// A burst lasts for seconds. Callers that were told to come back when the queue
-// would be short again came back into the same burst and were refused for good.
-// The longer a host has refused, the later they are to return; after the burst
-// the next one starts anew.
+// A burst lasts for seconds. Callers with a retry time as short as the queue
+// came back during the same burst and were refused for good. The retry time
+// must grow with the time for which the host has refused requests, and reset
+// after the burst.
 TEST(FleetPlacement, SendsCallersAwayForAsLongAsTheBurstHasLasted) {
   FleetPlacement placement = MakePlacement(FourEngines());
   const Duration queue = std::chrono::milliseconds(40);
@@ -293,10 +297,10 @@
   CHECK(placement.OnRefused(At(15), kService, queue) == queue);
 }
 
-// Slow engines: while prompts are read where streams run, the streams' events
-// come so late that they miss their deadline. Long prompts are no longer read
-// there once the pauses come near their bound, short ones are, and when the
-// pauses are short again or nothing streams any more all are.
+// Slow engines: prefills on an engine that runs streams delay the streams'
+// events past their deadline. Long prompts must not be prefilled there once the
+// pauses approach the limit; short ones may be. All prompts may be again when
+// the pauses are short or no stream runs any more.
 TEST(FleetPlacement, ReadsNoLongPromptsWhereStreamsFallBehind) {
   FleetPlacement placement =
       MakePlacement(Fleet({Engine("r1", EndpointRole::kPrefill),
@@ -326,9 +330,8 @@
   CHECK(!reader(4));
 }
 
-// Guards against a new connection for nearly every request: of engines that are
-// alike, the one that this host is connected with answers, until it has more to
-// do than the others.
+// Guards against a new connection for nearly every request: among equal
+// engines, the connected one is chosen until it has more load than the others.
 TEST(FleetPlacement, PrefersEnginesThatItIsConnectedWith) {
   std::vector<FleetEndpoint> engines;
   for (int i = 0; i < 8; ++i) {
@@ -350,8 +353,9 @@
   CHECK(answers() != connected);
 }
 
-// Moving a prompt's memory to another zone takes longer and is billed, whatever
-// zone the host is in; a full engine is worse.
+// Moving a prompt's KV cache to another zone takes longer and is billed,
+// whichever zone the host is in, so the decode engine must be in the prefill
+// engine's zone. A full engine is worse than another zone.
 TEST(FleetPlacement, HandsPromptsOverWithinTheirZone) {
   FleetPlacement placement =
       MakePlacement(Fleet({Engine("r1", EndpointRole::kPrefill, kThere),
@@ -367,8 +371,8 @@
   CHECK(placement.PlaceAnswer(At(1), shape, reader, {}) == EndpointId("g1"));
 }
 
-// Streams run at an engine that stays and at one that may be reclaimed: the
-// first gets them, until so many of its slots are taken that they slow down.
+// Streams go to an on-demand engine before a spot engine that may be reclaimed,
+// until so many of its slots are taken that they slow down.
 TEST(FleetPlacement, GeneratesAtEnginesThatStayWhileTheyHaveRoom) {
   FleetEndpoints fleet = Fleet({Engine("stays", EndpointRole::kDecode),
                                 Engine("spot", EndpointRole::kDecode)});
@@ -395,7 +399,7 @@
 
 namespace {
 
-// An engine that reads so many tokens a second, beside a fixed delay.
+// An engine that prefills at a constant rate after a fixed delay.
 struct PlayedEngine {
   double tokens_a_second = 0;
   Duration delay = std::chrono::milliseconds(2);
@@ -407,7 +411,7 @@
   }
 };
 
-constexpr double kGuess = 40000;  // tokens a second
+constexpr double kGuess = 40000;  // tokens per second
 
 double LearnedFrom(const std::vector<PlayedEngine>& engines, int readings) {
   EnginePace pace({.prompt_tokens = kGuess});
@@ -420,9 +424,9 @@
 
 }  // namespace
 
-// A fleet's engines read eight times as fast as was guessed, or eight times as
-// slowly. Within 40 readings the figure is right within a third, so that hosts
-// neither refuse what could be served nor pile up what can't.
+// Engines are eight times as fast or as slow as the initial estimate. After 40
+// measurements the estimate must be right within a third, so that hosts neither
+// refuse requests that could be served nor queue requests that can't.
 TEST(EnginePace, FindsEnginesFarFromTheGuess) {
   for (const double factor : {8.0, 2.5, 1.0, 0.4, 0.125}) {
     const double learned =
@@ -432,8 +436,9 @@
   }
 }
 
-// One engine in five hangs, and answers after seconds; in another fleet one in
-// five claims to have read at once. The figure stays that of the others.
+// One engine in five hangs and answers after seconds; in another fleet one in
+// five reports immediate prefills. Neither may move the estimate away from that
+// of the other engines.
 TEST(EnginePace, IsNotLedOffByAFewEngines) {
   const PlayedEngine sound{.tokens_a_second = kGuess};
   for (const PlayedEngine& odd :
@@ -445,8 +450,8 @@
   }
 }
 
-// A host that has just started takes over what others have measured, and not
-// what is no figure or was measured less often than here.
+// A host that has just started adopts the measurements of its peers, except
+// invalid figures and those with fewer measurements than its own.
 TEST(EnginePace, AHostThatHasJustStartedTakesOverWhatOthersKnow) {
   EnginePace known({.prompt_tokens = kGuess});
   const PlayedEngine fast{.tokens_a_second = 8 * kGuess};
@@ -468,8 +473,8 @@
 
 TEST_GROUP(FleetRetryBudget){};
 
-// Endpoints fail everything. Repeats stay within a fifth of the requests of the
-// window and a fixed slack, in any window.
+// All endpoints fail all requests. In any window, retries must stay within a
+// fifth of the window's requests plus a fixed slack.
 TEST(FleetRetryBudget, BoundsRepeatsInEveryWindow) {
   FleetRetryBudget budget(
       {.window = std::chrono::seconds(10), .share = 0.2, .slack = 6});
@@ -491,9 +496,9 @@
   CHECK(taken.size() > 100);
 }
 
-// A service fails everything at 89 hosts at once, and each of them repeats what
-// it may. All parts of the slack together must stay within it, also when every
-// host is killed and starts again in the window.
+// A service fails at 89 hosts at once, and each host retries as much as it may.
+// The hosts' shares of the slack must add up to no more than the slack, also
+// when every host is killed and restarts within the window.
 TEST(FleetRetryBudget, PartsOfTheSlackAddUpToNoMoreThanIt) {
   constexpr int kHosts = 89;
   constexpr int kSlack = 218;
@@ -509,8 +514,8 @@
   CHECK(repeats <= kSlack);
 }
 
-// A host has just started and doesn't know yet how many there are. It spends
-// nothing of the slack that all share, but its own requests allow repeats.
+// A host that has just started doesn't know the number of hosts yet. It must
+// not use the shared slack, but its own requests allow retries.
 TEST(FleetRetryBudget, SpendsNoSlackBeforeTheHostsAreListed) {
   FleetRetryBudget budget({.share = 0.2, .slack = 50});
   CHECK(!budget.Take(At(1), kService));
@@ -523,9 +528,9 @@
 
 TEST_GROUP(FleetClock){};
 
-// A host starts while its time of day is four seconds behind. What it counted
-// went into earlier windows for as long as it ran, and the reports of the whole
-// fleet were wrong.
+// A host starts while its wall clock is four seconds behind. Without
+// correction, its usage is counted in earlier windows for as long as it runs,
+// and the reports of the whole fleet are wrong.
 TEST(FleetClock, AWrongClockAtTheStartDoesNotLast) {
   FleetClock clock(1'000'000 - 4000, 500);
   LONGS_EQUAL(996'000, clock.UnixAt(500));
@@ -536,8 +541,8 @@
   LONGS_EQUAL(1'000'401, clock.UnixAt(900));
 }
 
-// A message was held up for three seconds by a partition. Its time is past, and
-// must not set this host's clock back.
+// A partition delays a message for three seconds. Its outdated timestamp must
+// not set this host's clock back.
 TEST(FleetClock, AMessageThatWasHeldUpSetsNothingBack) {
   FleetClock clock(1'000'000, 0);
   clock.OnPeer(HostId("a"), 1'000'500, 500);
@@ -547,8 +552,8 @@
 
 TEST_GROUP(UsageWindows){};
 
-// Copies come twice, late and out of order, and one host starts again. The sum
-// counts each request once.
+// Copies arrive twice, late and out of order, and one host restarts. The sum
+// must count each request once.
 TEST(UsageWindows, CountsEachRequestOnce) {
   const AccountId account("a");
   UsageWindows one({.host = HostId("h1"), .incarnation = 1},
@@ -572,9 +577,9 @@
   CHECK(!holder.Knows(HostId("h3"), 2));
 }
 
-// All hosts are restarted one after the other, and one of them that has just
-// started reports. It was told all copies by those that it linked with, also of
-// runs that have ended, so nothing is missing.
+// All hosts are restarted one after the other, and one that has just started
+// reports usage. It has received all copies from its linked peers, also those
+// of processes that have ended, so no request may be missing.
 TEST(UsageWindows, CountsOfEndedRunsOutliveRollingRestarts) {
   const AccountId account("a");
   const auto make = [](const std::string& host, uint64_t incarnation) {
@@ -604,16 +609,16 @@
 
 namespace {
 
-// So many streams at a time, at engines that all run the same number.
+// Load of `streams` concurrent streams, on engines that run an equal number.
 RoleLoad LoadOf(double streams) {
   return {.streams = streams, .running = [](const EndpointId&) { return 0; }};
 }
 
 }  // namespace
 
-// Nearly all work is reading. Engines that generate are turned into readers one
-// by one until only what the streams need is left, with one in each zone, and
-// then nothing changes any more.
+// Nearly all load is prefill. Decode engines change to prefill one by one until
+// only those that the streams need are left, at least one per zone. Then no
+// further change may follow.
 TEST(RolePlan, LeavesFewEnginesGeneratingAndSettles) {
   FleetEndpoints fleet;
   for (int i = 0; i < 18; ++i) {
@@ -632,16 +637,16 @@
   for (const auto& [id, engine] : fleet) {
     generating[engine.zone] += engine.role == EndpointRole::kDecode ? 1 : 0;
   }
-  // A fifth of 18 generates, and one more is left as it is.
+  // A fifth of the 18 engines decodes, and one more is left as it is.
   LONGS_EQUAL(7, changes);
   CHECK(generating[kHere] > 0 && generating[kThere] > 0);
-  // Streams come and go without a change.
+  // Varying numbers of streams cause no change.
   for (const double streams : {0.0, 5.0, 20.0, 40.0}) {
     CHECK(!PlanRole(fleet, kService, LoadOf(streams)));
   }
 }
 
-// The only generating engine is lost: a reader takes its place.
+// The only decode engine is lost: a prefill engine must take its role.
 TEST(RolePlan, ReplacesALostGeneratingEngine) {
   const FleetEndpoints fleet = Fleet({Engine("r1", EndpointRole::kPrefill),
                                       Engine("r2", EndpointRole::kPrefill),
@@ -650,9 +655,9 @@
   CHECK(change && change->role == EndpointRole::kDecode);
 }
 
-// Streams of many seconds run at most engines, and one stands idle. An engine
-// takes its new role when all its streams are over, and serves nothing new
-// until then: the idle one changes.
+// Long streams run on all engines but one. An engine changes its role only when
+// all its streams have ended, and accepts no new ones until then, so the idle
+// engine must be the one that changes.
 TEST(RolePlan, ChangesAnEngineThatHasNothingToEnd) {
   FleetEndpoints fleet;
   for (int i = 0; i < 12; ++i) {
@@ -689,8 +694,8 @@
 
 }  // namespace
 
-// Spot engines are cheap: they are ordered first, and on-demand ones go only
-// once the others are enough without them.
+// Spot engines are cheap: they are ordered first, and on-demand engines are
+// released only once the others suffice without them.
 TEST(ScalePlan, ReplacesDependableEnginesOnceSpotOnesAreThere) {
   EnginesByZone now{{kHere, {.on_demand = 6}}, {kThere, {.on_demand = 6}}};
   EnginesByZone plan = PlanScale(now, 12, 12, Bounds(0.2));
@@ -705,8 +710,8 @@
   CHECK(now.at(kHere).on_demand >= 1);
 }
 
-// A zone's spot engines are taken back and none are to be had there: the other
-// zone gets them, up to its bound.
+// A zone's spot engines are reclaimed and no new ones are available there: the
+// other zone must get them, up to its limit.
 TEST(ScalePlan, OrdersElsewhereWhatAZoneCannotGive) {
   const EnginesByZone now{{kHere, {.on_demand = 1, .spot_unavailable = true}},
                           {kThere, {.on_demand = 1, .spot = 5}}};
@@ -716,8 +721,8 @@
   CHECK(plan.at(kThere).spot + plan.at(kThere).on_demand <= 12);
 }
 
-// Both zones' spot engines are taken back while the load needs 16 engines:
-// on-demand ones are ordered for it, and no more than it needs.
+// Spot engines are reclaimed and unavailable in both zones while the load needs
+// 16 engines: on-demand engines must be ordered, and no more than needed.
 TEST(ScalePlan, OrdersDependableEnginesWhereNoSpotOnesAreToBeHad) {
   const EnginesByZone now{{kHere, {.on_demand = 1, .spot_unavailable = true}},
                           {kThere, {.on_demand = 1, .spot_unavailable = true}}};
@@ -726,16 +731,17 @@
   LONGS_EQUAL(0, plan.at(kHere).spot + plan.at(kThere).spot);
 }
 
-// A holder takes over with more engines than half of what all zones may have.
-// Without a bound it wanted twice as many, and half of that counted as needed
-// before it knew the load: dear engines that stood in for others never went.
+// A new holder starts with more engines than half of the limit over all zones.
+// Without the limit it would request twice as many, and half of that would
+// count as needed before the load is known, so expensive on-demand replacements
+// would never be released.
 TEST(ScalePlan, WantsNoMoreThanAllZonesMayHave) {
   LONGS_EQUAL(24, InitialEngines(20, Bounds(0.2)));
   LONGS_EQUAL(24, EnginesWanted(1000, 1, Bounds(0.2)));
   LONGS_EQUAL(10, InitialEngines(5, Bounds(0.2)));
 }
 
-// Where a spot engine costs nearly as much, none is used.
+// Where a spot engine costs nearly as much as an on-demand one, none is used.
 TEST(ScalePlan, UsesNoSpotEngineThatSavesNothing) {
   const EnginesByZone plan = PlanScale({}, 10, 10, Bounds(0.9));
   LONGS_EQUAL(10, Sum(plan));
--- a/tests/fleet_topology_test.cc
+++ b/tests/fleet_topology_test.cc
@@ -1,4 +1,5 @@
-// Who schedules in a fleet, and where ingress hosts forward to.
+// Tests of scheduler selection in a fleet, and of where ingress hosts forward
+// requests.
 
 #include <CppUTest/TestHarness.h>
 
@@ -41,7 +42,7 @@
   return {.ready = true, .keys_proven = true, .version = version};
 }
 
-// The scheduler for the next request; no id if there is none.
+// Returns the scheduler for the next request, or an empty id if there is none.
 HostId Chosen(const SchedulerChoice& choice) {
   return choice.Choose({}).value_or(HostId());
 }
@@ -76,8 +77,8 @@
   }
 }
 
-// Guards against weak hosts that schedule though they aren't needed: what a
-// scheduler reads and computes takes them too long.
+// Guards against weak hosts that schedule though they aren't needed: a
+// scheduler's reads and computations take too long there.
 TEST(FleetTopology, TwoStrongHostsAreEnough) {
   LONGS_EQUAL(2, PlanSchedulers(Zone("a", 2, 30), {}).size());
   LONGS_EQUAL(2, PlanSchedulers(Zone("a", 1, 4), {}).size());
@@ -95,7 +96,7 @@
   CHECK(capacity >= (2 * 500 + 40 * 120) / 2);
 }
 
-// Guards against zones that are served through one link alone.
+// Guards against zones that are served through a single link.
 TEST(FleetTopology, IngressHostsLinkNearAndFar) {
   auto hosts = Zone("a", 3, 5);
   const auto other = Zone("b", 3, 5);
@@ -106,8 +107,8 @@
   LONGS_EQUAL(3, std::ranges::count(picked, ZoneId("a"), &FleetHost::zone));
 }
 
-// Guards against links, and the requests on them, that are cut because the list
-// of schedulers has grown.
+// Guards against links, and the requests on them, that are closed because the
+// list of schedulers has grown.
 TEST(FleetTopology, LinksStayWhenSchedulersCome) {
   const FleetHost self = Host("i", "a", 120);
   const auto few = Zone("a", 3, 0);
@@ -122,8 +123,8 @@
   }
 }
 
-// Guards against an ingress host that knows only the weak schedulers of its
-// zone.
+// Guards against an ingress host that is linked only with the weak schedulers
+// of its zone.
 TEST(FleetTopology, LinksToStrongOnesOfOtherZonesBesideWeakOnes) {
   std::vector<FleetHost> schedulers{Host("a1", "a", 120), Host("a2", "a", 120),
                                     Host("a3", "a", 120)};
@@ -136,8 +137,8 @@
   LONGS_EQUAL(4, std::ranges::count(picked, 500, &FleetHost::capacity));
 }
 
-// Guards against an ingress host without a scheduler once those that it is
-// linked with have drained, and against answers that are cut with their links.
+// Guards against an ingress host without a scheduler once all its linked
+// schedulers have drained, and against responses that are cut with their links.
 TEST(FleetTopology, LinksToSchedulersThatStayBesideDrainingOnes) {
   auto schedulers = Zone("a", 3, 0);
   const auto other = Zone("b", 3, 0);
@@ -156,8 +157,8 @@
   CHECK(std::ranges::includes(ids, links.linked));
 }
 
-// Guards against weak schedulers in place of strong ones of other zones while
-// the strong ones of the own zone drain.
+// Guards against choosing weak schedulers of an ingress host's own zone over
+// strong ones of other zones while the strong ones of its zone drain.
 TEST(FleetTopology, LinksToStrongOnesWhileThoseOfItsZoneDrain) {
   std::vector<FleetHost> schedulers{Host("a1", "a", 500), Host("a2", "a", 500)};
   for (const char* id : {"b1", "b2", "c1", "c2"}) {
@@ -171,7 +172,8 @@
   LONGS_EQUAL(6, std::ranges::count(picked, 500, &FleetHost::capacity));
 }
 
-// Guards against one scheduler that all ingress hosts of other zones pick.
+// Guards against one scheduler that the ingress hosts of all other zones
+// choose.
 TEST(FleetTopology, FarLinksAreSpread) {
   auto hosts = Zone("a", 0, 60);
   const auto other = Zone("b", 6, 0);
@@ -190,8 +192,8 @@
   }
 }
 
-// Guards against engines that every scheduler polls, and against all engines
-// polled by one.
+// Guards against engines that every scheduler polls, and against one scheduler
+// that polls all engines.
 TEST(FleetTopology, EachEngineHasOneSubscriberInItsZone) {
   auto schedulers = Zone("a", 3, 0);
   const auto other = Zone("b", 3, 0);
@@ -208,8 +210,8 @@
   }
 }
 
-// Guards against engines that nobody follows once their subscriber is lost, and
-// against all of them changing hands.
+// Guards against engines without a subscriber after theirs is lost, and against
+// moving the other engines too.
 TEST(FleetTopology, OnlyEnginesOfALostSubscriberChangeHands) {
   const auto before = Zone("a", 4, 0);
   const std::vector<FleetHost> after(before.begin() + 1, before.end());
@@ -242,7 +244,7 @@
   LONGS_EQUAL(0, chosen[HostId("s3")]);
 }
 
-// Guards against a zone that isn't served after all of its schedulers died.
+// Guards against a zone that isn't served after all its schedulers have died.
 TEST(SchedulerChoice, OtherZonesServeWhileTheOwnCannot) {
   SchedulerChoice choice(ZoneId("a"));
   choice.SetSchedulers({Host("s1", "a", 500), Host("s2", "b", 500)});
@@ -254,8 +256,9 @@
   CHECK(!choice.Choose({HostId("s2")}).has_value());
 }
 
-// Guards against a zone whose strong schedulers are away and whose weak ones,
-// with slow links, get everything while strong ones of other zones serve.
+// Guards against sending all requests of a zone to its weak schedulers with
+// slow links while its strong ones are absent and strong ones of other zones
+// serve.
 TEST(SchedulerChoice, StrongOnesOfOtherZonesComeBeforeMuchWeakerOnes) {
   SchedulerChoice choice(ZoneId("a"));
   choice.SetSchedulers(
@@ -271,8 +274,8 @@
   CHECK(choice.Choose({}) != HostId("s1"));
 }
 
-// Guards against a linked scheduler that is never chosen, since it told of
-// itself before it was listed, or was missing in one list.
+// Guards against a linked scheduler that is never chosen because its status
+// arrived before it was listed, or because it was missing from one list.
 TEST(SchedulerChoice, RemembersWhatAnUnlistedSchedulerTold) {
   SchedulerChoice choice(ZoneId("a"));
   choice.OnNews(HostId("s1"), Serving(1));
@@ -288,8 +291,9 @@
   CHECK(!choice.Ready());
 }
 
-// Guards against a change of the configuration that a caller sees undone: it
-// was served by a scheduler that has the change, then by one that hasn't.
+// Guards against a configuration change that appears undone to a caller: one
+// request is served by a scheduler that has the change, the next by one without
+// it.
 TEST(SchedulerChoice, NeverGoesBackToAnOlderConfiguration) {
   SchedulerChoice choice(ZoneId("a"));
   choice.SetSchedulers({Host("s1", "a", 500), Host("s2", "a", 500)});
@@ -302,8 +306,8 @@
   CHECK(choice.Ready());
 }
 
-// Guards against forwarding to a scheduler whose configuration is older than
-// one that this host has already applied.
+// Guards against forwarding to a scheduler with an older configuration than
+// this host has already applied.
 TEST(SchedulerChoice, NeverChoosesASchedulerBehindThisHost) {
   SchedulerChoice choice(ZoneId("a"));
   choice.SetSchedulers({Host("s1", "a", 500)});
@@ -314,7 +318,7 @@
   CHECK(choice.Choose({}) == HostId("s1"));
 }
 
-// Guards against refused keys while another scheduler could check them.
+// Guards against refused API keys while another scheduler could verify them.
 TEST(SchedulerChoice, PrefersSchedulersThatCanTrustKeys) {
   SchedulerChoice choice(ZoneId("a"));
   choice.SetSchedulers({Host("s1", "a", 500), Host("s2", "b", 500)});
@@ -325,8 +329,8 @@
   CHECK(choice.Choose({}) == HostId("s1"));
 }
 
-// Guards against a scheduler that has stopped answering and draws the requests
-// of its whole zone until its link ends.
+// Guards against a scheduler that has stopped answering and attracts the
+// requests of its whole zone until its link closes.
 TEST(SchedulerChoice, AvoidsASchedulerThatIsStuck) {
   SchedulerChoice choice(ZoneId("a"));
   choice.SetSchedulers({Host("s1", "a", 500), Host("s2", "a", 500)});
@@ -346,7 +350,7 @@
 }
 
 // Guards against a slow host that delays its share of the requests while others
-// of its zone keep up; other zones aren't asked for that.
+// of its zone keep up. Other zones aren't used for that.
 TEST(SchedulerChoice, AvoidsABusySchedulerOfItsZone) {
   SchedulerChoice choice(ZoneId("a"));
   choice.SetSchedulers(
@@ -365,8 +369,8 @@
   CHECK(choice.Choose({}) == HostId("s1"));
 }
 
-// Guards against requests that go to a scheduler shortly before its process
-// ends, and against refusals while only such ones are linked.
+// Guards against requests to a scheduler whose process is about to end, and
+// against refusals while only such schedulers are linked.
 TEST(SchedulerChoice, ADrainingSchedulerIsTheLastResort) {
   SchedulerChoice choice(ZoneId("a"));
   choice.SetSchedulers({Host("s1", "a", 500), Host("s2", "b", 250)});
@@ -379,8 +383,8 @@
   CHECK(choice.Choose({HostId("s2")}) == HostId("s1"));
 }
 
-// Guards against the load of a strong scheduler that goes to a weak one with a
-// slow link while the strong one still takes requests.
+// Guards against moving the load of a strong scheduler to a weak one with a
+// slow link while the strong one still accepts requests.
 TEST(SchedulerChoice, AStrongDrainingOneComesBeforeMuchWeakerOnes) {
   SchedulerChoice choice(ZoneId("a"));
   choice.SetSchedulers(
@@ -394,8 +398,8 @@
   CHECK(choice.Choose({}) == HostId("s2"));
 }
 
-// Guards against a new scheduler that gets every request until it has had as
-// many as a draining one.
+// Guards against a new scheduler that receives every request until it has had
+// as many as a draining one.
 TEST(SchedulerChoice, NewSchedulersBeginLevelWithThoseThatStay) {
   SchedulerChoice choice(ZoneId("a"));
   choice.SetSchedulers(
@@ -419,8 +423,8 @@
   LONGS_EQUAL(5, to_new);
 }
 
-// Guards against a scheduler that comes back and gets every request until it
-// has had as many as the others.
+// Guards against a returning scheduler that receives every request until it has
+// had as many as the others.
 TEST(SchedulerChoice, NewSchedulersBeginLevel) {
   SchedulerChoice choice(ZoneId("a"));
   choice.SetSchedulers({Host("s1", "a", 500), Host("s2", "a", 500)});
--- a/tests/stop_decisions_test.cc
+++ b/tests/stop_decisions_test.cc
@@ -1,4 +1,5 @@
-// What a stopping host takes, and how long answers are expected to take.
+// Tests of which requests a stopping host accepts, and of the estimates of
+// response durations.
 
 #include <CppUTest/TestHarness.h>
 
@@ -19,7 +20,8 @@
                 ToSeconds(expected) * 0.1);
 }
 
-// Answers at ten a second that take `from`, then evenly more up to `to`.
+// Records ten responses a second whose durations rise evenly from `from` to
+// `to`.
 Instant AddAnswers(AnswerTimes& times,
                    const AnswerKind& kind,
                    Instant from_when,
@@ -38,8 +40,8 @@
 
 TEST_GROUP(StopSchedule){};
 
-// Guards against refusing callers that the balancer still sends, though their
-// answers end in time.
+// Guards against refusing requests that the load balancer still sends, though
+// their responses end in time.
 TEST(StopSchedule, TakesWhatEndsInTime) {
   const auto stop = StopSchedule::From(kStart, seconds(8));
   CHECK(stop.MayAccept(kStart, {.limit = seconds(15), .expected = seconds(5)}));
@@ -48,7 +50,7 @@
   CHECK(stop.MayAccept(kStart + seconds(6), {.limit = milliseconds(1500)}));
 }
 
-// Guards against answers that are cut when the process ends.
+// Guards against responses that are cut when the process ends.
 TEST(StopSchedule, RefusesWhatMayOutlastIt) {
   const auto stop = StopSchedule::From(kStart, seconds(8));
   CHECK(!stop.MayAccept(kStart, {.limit = seconds(15)}));
@@ -59,8 +61,8 @@
   CHECK(!stop.MayAccept(kStart + seconds(6), {.limit = milliseconds(1501)}));
 }
 
-// Guards against an estimate that decides when callers have had the time to go
-// elsewhere.
+// Guards against accepting requests on an estimate alone when callers have
+// already had the time to move to another host.
 TEST(StopSchedule, NeedsCertaintyAfterTheTimeForTakingRequests) {
   const auto stop = StopSchedule::From(kStart, seconds(8));
   const AnswerDuration need{.limit = seconds(15), .expected = milliseconds(10)};
@@ -69,8 +71,8 @@
   CHECK(stop.accept_until < kStart + seconds(3));
 }
 
-// Guards against a process that is killed before it has answered, whatever the
-// grace time is.
+// Guards against a process that is killed before it has responded, whatever its
+// grace period is.
 TEST(StopSchedule, EndsBeforeTheGraceTime) {
   for (const Duration grace :
        {Duration(milliseconds(200)), Duration(seconds(1)), Duration(seconds(8)),
@@ -83,7 +85,7 @@
 
 TEST_GROUP(AnswerTimes){};
 
-// Guards against a few lucky answers that stand for all.
+// Guards against estimates from a few unusually fast responses.
 TEST(AnswerTimes, TellsWhatNearlyAllAnswersStayBelow) {
   AnswerTimes times;
   const auto kind = AnswerKind::Of("r", 100);
@@ -92,7 +94,8 @@
   CheckNear(milliseconds(4800), times.P95(now, kind));
 }
 
-// Guards against estimates from before a slowdown, or after it.
+// Guards against estimates that ignore a slowdown, or that keep it after it has
+// ended.
 TEST(AnswerTimes, FollowsTheLastSeconds) {
   AnswerTimes times;
   const auto kind = AnswerKind::Of("r", 100);
@@ -104,7 +107,7 @@
   CHECK(!times.P95(now + seconds(60), kind).has_value());
 }
 
-// Guards against refusing every answer of a size that is seldom asked for.
+// Guards against refusing every request of a size that is rarely requested.
 TEST(AnswerTimes, InfersFromTheNearestSize) {
   AnswerTimes times;
   const Instant now = AddAnswers(times, AnswerKind::Of("r", 100), kStart, 10,
