--- a/tests/authority_test.cc
+++ b/tests/authority_test.cc
@@ -1,5 +1,5 @@
-// Tests of the lease and the coordinator: failure stories step by step, and
-// seeds of the randomised runs that once showed a fault.
+// Tests of the lease and the coordinator: failure scenarios step by step, and
+// seeds of randomised runs that once found a fault.
 
 #include <CppUTest/TestHarness.h>
 
@@ -20,13 +20,13 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Thousands of leases change hands in these tests; only errors are printed.
+// These tests transfer thousands of leases, so only errors are logged.
 const bool kQuiet = [] {
   StartLog({.level = LogLevel::kError});
   return true;
 }();
 
-// One coordinator and the store, driven by hand.
+// One coordinator and the store, stepped by the test.
 struct Bench {
   explicit Bench(const std::string& host, ModelStore& store)
       : store(store), coordinator(OptionsFor(host)) {}
@@ -40,8 +40,8 @@
     return options;
   }
 
-  // Carries out all calls to the store at once, and keeps the other actions.
-  // Replies to transactions that write `lost_key` are lost.
+  // Runs all store calls at once, and keeps the other actions. Replies to
+  // transactions that write `lost_key` are lost.
   void Settle(Instant now, CoordinatorActions actions) {
     while (!actions.empty()) {
       CoordinatorActions next;
@@ -126,8 +126,8 @@
   Bench first{"a", store};
   Bench second{"b", store};
 
-  // `first` holds the lease and then stands still until it has lapsed; the
-  // other host takes over.
+  // `first` holds the lease and is then paused until it has expired; `second`
+  // acquires it.
   void TakeOver() {
     this->second.Tick(At(20));
     this->second.Tick(At(20.5));
@@ -142,9 +142,10 @@
   CHECK(second.Propose(At(1), kRole).error().kind == ErrorKind::kNotHolder);
 }
 
-// A host is suspended for a minute, its lease lapses and another host gives
-// orders. When it wakes, an order that it had decided on before would reach the
-// endpoint. Its clock ran through the suspend, so the check refuses.
+// A host is suspended for a minute, its lease expires and another host sends
+// orders. When the host resumes, an order that it decided on before must not
+// reach the endpoint. Its clock includes the suspended time, so the check
+// refuses.
 TEST(Coordinator, MayNotActAfterSleepingThroughItsLease) {
   first.Tick(At(0));
   const int64_t fencing = first.coordinator.Authority().Fencing();
@@ -152,18 +153,18 @@
   CHECK(!first.coordinator.MayAct(At(5.1), fencing));
 }
 
-// The reply to the lease's creation is lost. Taken for a failure, the data
-// centre has no coordinator until the record expires. The unique token in the
-// record shows that it is this host's own.
+// The reply to the lease's creation is lost. If that were treated as a failure,
+// the data centre would have no coordinator until the record expires. The
+// unique token in the record identifies the host's own lease.
 TEST(Coordinator, TakesTheLeaseWhenOnlyTheReplyWasLost) {
   first.lost_key = LeaseKey(DataCentreId("dc"));
   first.Tick(At(0));
   CHECK(first.coordinator.Ready());
 }
 
-// The reply to an intent's write is lost. Never sending the order would stall
-// the endpoint; sending it without knowing could leave no trace for a
-// successor. Reading back shows that it is recorded.
+// The reply to an order record's write is lost. If the order were never sent,
+// the endpoint would stall; if it were sent without certainty, a successor
+// might find no record of it. Reading the record back confirms the write.
 TEST(Coordinator, SendsAnOrderWhoseRecordWasWrittenButNotConfirmed) {
   first.Tick(At(0));
   first.lost_key = OrderRecordKey(DataCentreId("dc"));
@@ -172,10 +173,11 @@
   LONGS_EQUAL(1, first.Sent<SendOrder>().size());
 }
 
-// A coordinator dies between recording an order and hearing of its end. Its
-// successor wants another role for the same endpoint, which would receive two
-// conflicting orders when the first is only late. It repeats the first one and
-// refuses the other until the endpoint reports it done.
+// A coordinator dies between recording an order and receiving its result. If
+// its successor sent another role to the same endpoint, the endpoint might
+// receive two conflicting orders, since the first may only be late. The
+// successor repeats the first order and refuses others until the endpoint
+// reports it done.
 TEST(Coordinator, SuccessorRepeatsAnOpenOrderAndRefusesOthersThere) {
   first.Tick(At(0));
   const Result<OrderId> open = first.Propose(At(1), kRole);
@@ -192,10 +194,10 @@
   CHECK(second.Propose(At(22), other).has_value());
 }
 
-// A coordinator stands still just before an endpoint order leaves for the
-// platform, which checks nobody. Would its successor order endpoints now, the
-// platform would hear from two that believe to be in charge. It waits until the
-// first says, on waking, that it has stopped.
+// A coordinator is paused just before it sends an endpoint order to the
+// platform, which doesn't verify the sender. If its successor ordered endpoints
+// now, two hosts would act as coordinator. The successor must wait until the
+// first one resumes and reports that it has stopped.
 TEST(Coordinator, SuccessorOrdersNoEndpointsUntilTheFirstHasStopped) {
   first.Tick(At(0));
   const Result<OrderId> open = first.Propose(At(1), kMore);
@@ -212,9 +214,9 @@
   CHECK(second.Sent<SendEndpointOrder>().front().order.id == *open);
 }
 
-// The first coordinator's machine is gone for good and says nothing. Endpoint
-// orders would stop for ever; once the platform's list hasn't shown the host
-// for long enough, its order is taken over.
+// The first coordinator's machine is lost for good and reports nothing. Without
+// a time limit, endpoint orders would stop for ever; its order must be taken
+// over once the platform's list hasn't contained the host for long enough.
 TEST(Coordinator, SuccessorGoesOnWhenTheFirstHostLeftTheList) {
   first.Tick(At(0));
   CHECK(first.Propose(At(1), kMore).has_value());
@@ -233,9 +235,10 @@
   LONGS_EQUAL(1, second.Sent<SendEndpointOrder>().size());
 }
 
-// The reporter of a closed window dies before it is confirmed. A successor that
-// counts anew would report other figures for the same window, and the customer
-// be billed twice. The figures were written once, and the same are sent again.
+// The reporter of a closed window dies before the report is confirmed. A
+// successor that counts anew would report other figures for the same window,
+// and the account would be billed twice. It must send the recorded figures
+// again.
 TEST(Coordinator, SuccessorReportsTheFiguresThatWereWritten) {
   UsageMeter meter({.host = HostId("c"), .incarnation = 1});
   meter.Add(AccountId("x"), {.prompt_tokens = 100, .requests = 1});
@@ -263,8 +266,9 @@
   LONGS_EQUAL(9, later.figures.at(AccountId("x")).requests);
 }
 
-// An operator replaces a host; the lease would block the data centre for its
-// whole length. On a planned stop it is given up and the others are told.
+// An operator replaces a host. The lease would otherwise block the data centre
+// for its full length, so a planned stop must release it and notify the other
+// hosts.
 TEST(Coordinator, PlannedStopFreesTheLeaseAtOnce) {
   first.Tick(At(0));
   CoordinatorActions actions;
@@ -295,9 +299,9 @@
 
 TEST_GROUP(Calls){};
 
-// Every host of a data centre would like the lease. Did each ask every two
-// seconds, 330 hosts would spend the service's calls on nothing; those that
-// come later in the list ask less often.
+// Every host of a data centre contends for the lease. If each tried every two
+// seconds, 330 hosts would use up the store's call rate for nothing; hosts
+// later in the list try less often.
 TEST(Calls, GrowWithDataCentresNotWithHosts) {
   std::map<int, double> rates;
   for (const int hosts : {2, 8, 18, 83}) {
@@ -330,8 +334,8 @@
 
 TEST_GROUP(UsageLoss){};
 
-// A host is killed. What it served since its last copy went out is lost and
-// never billed; no more than that. Copies go out every second here, and each
+// A host is killed. Only what it served since its last copy was sent may be
+// lost, which is then never billed. Copies are sent every second here, and each
 // host serves 20 requests a second.
 TEST(UsageLoss, IsWhatWasServedSinceTheLastCopy) {
   WorldOptions options = MatrixOptions();
@@ -349,10 +353,10 @@
 
 TEST_GROUP(Seeds){};
 
-// Usage windows and endpoint orders reached the platform from two hosts that
-// both believed to be in charge: the second repeated what the first had begun,
-// and the first, holder once more, took it for its own and didn't wait for the
-// second, which stood between its check and its send.
+// Guards against usage windows and endpoint orders that reach the platform from
+// two hosts that both act as coordinator: the second repeated the first one's
+// orders, and the first, holder again, treated them as its own and didn't wait
+// for the second, which was paused between its check and its send.
 TEST(Seeds, TakeoverIsRecordedBeforeARepeat) {
   for (const uint64_t seed : {2, 28}) {
     CHECK(World(SoakOptions(seed), {}).Run().violations.empty());
@@ -366,8 +370,8 @@
   CHECK(World(MatrixOptions(), faults).Run().violations.empty());
 }
 
-// A filing ran twice: its repeat lay unread on a host that stood still, until
-// the claim of the first had expired.
+// Guards against a request that runs twice: its repeat stayed unread on a
+// paused host until the claim of the first had expired.
 TEST(Seeds, ClaimOutlivesARepeatThatLayUnread) {
   CHECK(World(SoakOptions(107), {}).Run().violations.empty());
 }
--- a/tests/claims_test.cc
+++ b/tests/claims_test.cc
@@ -1,5 +1,5 @@
 // Tests of claims: lost replies, a store that is down or slow, duplicates, and
-// how many calls filings cost.
+// the number of store calls per request.
 
 #include <CppUTest/TestHarness.h>
 
@@ -23,7 +23,7 @@
   return Instant(FromSeconds(1000 + seconds));
 }
 
-// A book and a store that answers at once, unless told otherwise.
+// A claim manager and a store that answers at once, unless a fault is set.
 struct Bench {
   explicit Bench(const std::string& host, ModelStore& store)
       : store(store), book({.host = HostId(host), .incarnation = 1}) {}
@@ -98,8 +98,9 @@
   Bench second{"b", store};
 };
 
-// A shopkeeper's library sends a petition again through another host, as the
-// first answer was slow. Both would file it, and the fees be paid twice.
+// A client library retries a request through another host because the first
+// response was slow. Without a claim, both would be run and the fees be paid
+// twice.
 TEST(Claims, RepeatThroughAnotherHostIsADuplicate) {
   first.Claim(0, "r1", "k");
   second.Claim(0.1, "r2", "k");
@@ -107,9 +108,10 @@
   CHECK(second.Answered("r2", ClaimResult::kTaken));
 }
 
-// The store takes the claim and its reply is lost. Refused as "not run", the
-// caller would repeat it and be told that it was sent before: the filing would
-// be lost. The unique token shows that the claim is this host's own.
+// The store records the claim and its reply is lost. If the request were
+// answered as "not run", the caller's retry would be rejected as a duplicate
+// and the request be lost. The unique token in the record identifies the host's
+// own claim.
 TEST(Claims, LostReplyIsReadBack) {
   first.lose_replies = true;
   first.Claim(0, "r1", "k");
@@ -127,10 +129,10 @@
   CHECK(second.Answered("r2", ClaimResult::kGranted));
 }
 
-// The reply is lost, and then the store is down until the request's time is up.
-// The answer is unknown, not "not run": a repeat may be refused. The record
-// that nobody will use is removed once the store answers, and the caller may
-// file again.
+// The reply is lost, and then the store is down until the request's deadline.
+// The outcome must be reported as unknown, not as "not run", since a retry may
+// be refused. The unused record must be removed once the store answers, so that
+// the caller may send the request again.
 TEST(Claims, UnknownIsSaidAndLaterCleanedUp) {
   first.lose_replies = true;
   first.Claim(0, "r1", "k");
@@ -151,8 +153,9 @@
   CHECK(second.Answered("r3", ClaimResult::kGranted));
 }
 
-// A host that was granted a claim finds no endpoint: it answers "not run". The
-// caller's repeat must then be allowed, and only its own claim be removed.
+// A host that was granted a claim finds no endpoint and answers "not run". The
+// caller's retry must then be allowed, and only the host's own claim be
+// removed.
 TEST(Claims, WithdrawnClaimFreesItsKeyAndNoOther) {
   first.Claim(0, "r1", "k");
   ClaimActions actions;
@@ -165,8 +168,8 @@
   CHECK(first.Answered("r3", ClaimResult::kTaken));
 }
 
-// A host stands still between the grant and the send, for so long that its
-// record may be gone and the filing was claimed anew.
+// A host is paused between the grant and the send, so long that its record may
+// have expired and another host may have claimed the request.
 TEST(Claims, MayNotSendLongAfterTheGrant) {
   first.Claim(0, "r1", "k");
   CHECK(first.book.MaySend(At(1), RequestId("r1")));
@@ -175,7 +178,7 @@
 
 TEST(Claims, OneTakenKeyDoesNotHoldUpTheOthersOfItsBatch) {
   second.Claim(0, "r0", "k3");
-  first.Claim(0.1, "warm", "k0");  // has the lease granted
+  first.Claim(0.1, "warm", "k0");  // obtains the store lease
   ClaimActions actions;
   for (int i = 1; i < 6; ++i) {
     first.book.Claim(At(0.101),
@@ -185,7 +188,7 @@
                       .deadline = At(3)},
                      actions);
   }
-  CHECK(actions.empty());  // they wait for their common transaction
+  CHECK(actions.empty());  // wait for their common transaction
   first.Tick(0.2);
   first.Tick(0.3);
   CHECK(first.Answered("r3", ClaimResult::kTaken));
@@ -207,8 +210,8 @@
   CHECK(key("a", "1", "x") != key("a", "", "x"));
 }
 
-// Calls of the store against filings, for one host whose store answers within
-// 2 ms. Alone a filing costs one call; in a rush they share transactions.
+// Store calls per request, for one host whose store answers within 2 ms. A
+// single request costs one call; at high rates requests share transactions.
 TEST(Claims, CallsGrowSlowerThanFilings) {
   for (const int64_t rate : {1, 20, 100, 1000, 3000}) {
     ModelStore counted;
--- a/tests/digest_delta_test.cc
+++ b/tests/digest_delta_test.cc
@@ -1,4 +1,4 @@
-// Tests of digests as differences, and of digests summed.
+// Tests of digest deltas and of digest summaries.
 
 #include <CppUTest/TestHarness.h>
 #include <rapidcheck.h>
@@ -17,7 +17,8 @@
 namespace {
 
 const HostId kReceiver("r");
-// Forgets so soon that every random history has forgotten entries in it.
+// Drops removed entries so soon that every random history contains dropped
+// ones.
 constexpr DigestSenderOptions kForgetful{.removed_retention = 1,
                                          .max_removed = 4};
 constexpr int64_t kUnits = kSummaryUnit / kServedUnit;
@@ -44,7 +45,8 @@
   return digest;
 }
 
-// A small random digest: few ids, so that entries come, change and go.
+// A small random digest: few ids, so that entries are added, changed and
+// removed.
 Digest RandomDigest(uint64_t incarnation) {
   Digest digest = MakeDigest("s", incarnation);
   const auto some = [](int most) { return *rc::gen::inRange(0, most); };
@@ -71,11 +73,11 @@
   return digest;
 }
 
-// One sender and one receiver with an untrustworthy line between them.
+// One sender and one receiver, connected by an unreliable link.
 class Line {
  public:
-  // One turn of chance: the state changes, a digest or an ack passes or is
-  // lost, a connection is replaced, the sender or the receiver starts anew.
+  // Runs one random step: the state changes, a digest or an ack is delivered or
+  // lost, a connection is replaced, or the sender or the receiver restarts.
   void Step() {
     switch (*rc::gen::inRange(0, 10)) {
       case 0:
@@ -112,7 +114,7 @@
     this->sender.Update(this->state);
   }
 
-  // The next digest and the ack to it.
+  // Sends the next digest and its ack.
   void Round(bool digest_passes, bool ack_passes) {
     this->sender.Update(this->state);
     const DigestDelta delta = this->sender.Next(kReceiver);
@@ -144,8 +146,8 @@
 TEST_GROUP(DigestDelta){};
 
 // Hosts lose connections, digests and acks, and are restarted, in any order. A
-// receiver that silently kept an old value would route or share by it for as
-// long as the sender runs. So after any such history, three rounds without a
+// receiver that kept an outdated value would use it for routing and shares for
+// as long as the sender runs. After any such history, three rounds without a
 // loss must leave the receiver with exactly the sender's state.
 TEST(DigestDelta, BothSidesAgreeAfterAnyLosses) {
   CHECK(rc::check("agree", [] {
@@ -178,8 +180,8 @@
   CHECK(sender.Next(kReceiver).outstanding.empty());
 }
 
-// A digest that was on its way for long arrives after newer ones. Its lower
-// numbers would make an endpoint look free that is full.
+// A delayed digest arrives after newer ones. Its lower counts would make a full
+// endpoint appear free.
 TEST(DigestDelta, DropsWhatIsStale) {
   DigestSender sender;
   DigestReceiver receiver;
@@ -193,9 +195,9 @@
   LONGS_EQUAL(9, receiver.Current().outstanding.front().requests);
 }
 
-// Endpoints are replaced all the time and bear new ids. A sender that kept
-// every id it ever used would grow for as long as it runs, also when one of
-// its receivers has stopped answering.
+// Endpoints are replaced all the time and get new ids. A sender that kept every
+// id would grow without limit, also when one of its receivers has stopped
+// answering.
 TEST(DigestDelta, ForgetsIdsThatAreGone) {
   DigestSender sender({.removed_retention = 100, .max_removed = 1000});
   DigestReceiver receiver;
@@ -222,8 +224,8 @@
   LONGS_EQUAL(1, receiver.Current().outstanding.size());
 }
 
-// A peer of another release, or a broken one, names an index that it never
-// bound to an id. What it says can't be trusted; the whole is asked for.
+// A peer of another release, or a faulty one, uses an index that it never
+// assigned to an id. Its delta must be rejected and a full digest be requested.
 TEST(DigestDelta, AsksForAllWhenAnIndexIsUnknown) {
   DigestReceiver receiver;
   DigestDelta delta;
@@ -247,16 +249,16 @@
     digest.sequence = 2;
     digest.served = {Served("a1", 107 * kUnits)};
     summary.OnDigest(digest);
-    summary.OnDigest(digest);  // heard twice, counted once
+    summary.OnDigest(digest);  // received twice, counted once
   }
   const Digest sum = summary.Make(HostId("h1"), DataCentreId("dc1"), 1);
   LONGS_EQUAL(4, sum.outstanding.front().requests);
   LONGS_EQUAL(14 * kSummaryUnit, sum.served.front().cost);
 }
 
-// A host is restarted and its counters start at zero; another is cut off for a
-// while and comes back. An account's total must neither fall nor count the
-// same work twice, or its share elsewhere jumps.
+// A host restarts and its counters start at zero; another is disconnected for a
+// while and returns. An account's total must neither fall nor count the same
+// work twice, since its share at other hosts would jump.
 TEST(DigestSummary, TotalsNeitherFallNorDouble) {
   DigestSummary summary;
   const auto total = [&] {
--- a/tests/lease_release_test.cc
+++ b/tests/lease_release_test.cc
@@ -1,4 +1,5 @@
-// Tests of the release of a lease: who may act after it, and from when on.
+// Tests of the release of a lease: which host may act after it, and from when
+// on.
 
 #include <CppUTest/TestHarness.h>
 
@@ -39,7 +40,8 @@
   return Instant(FromSeconds(1000 + seconds));
 }
 
-// A lease and the store. Transactions can be held back or lose their replies.
+// A lease and the store, stepped by the test. Transactions can be held back or
+// lose their replies.
 struct HandDriven {
   HandDriven(const std::string& host, ModelStore& store)
       : store(store), lease(OptionsOf(host)) {}
@@ -92,7 +94,7 @@
     this->lease.OnStoreReply(At(at), run.tag, reply, next);
   }
 
-  // A write that was held back arrives.
+  // Applies a held-back write to the store and passes the reply to the lease.
   StoreOutcome DeliverHeldBack(double at) {
     const RunTransaction run = this->held_back.back();
     this->held_back.pop_back();
@@ -124,7 +126,7 @@
   }
 };
 
-// Guards against a wait of a lease's length after an orderly stop.
+// Guards against waiting a full lease length after an orderly stop.
 TEST(LeaseRelease, TellsTheNextHolderItsWait) {
   first.Tick(0);
   CHECK(first.lease.MayAct(At(0.1)));
@@ -139,7 +141,7 @@
   CHECK(!HasRelease());
 }
 
-// Guards against a retired host that takes the lease again.
+// Guards against a retired host that acquires the lease again.
 TEST(LeaseRelease, AHostThatReleasedDoesNotContendAgain) {
   first.Tick(0);
   first.Release(0.5);
@@ -149,7 +151,7 @@
   }
 }
 
-// Guards against a release that outlives the tenure that came after it.
+// Guards against a release that remains in effect after the following tenure.
 TEST(LeaseRelease, CountsForOneTenureOnly) {
   first.Tick(0);
   first.Release(0.5);
@@ -160,8 +162,8 @@
   CHECK(!third.lease.Released());
 }
 
-// Guards against a release read long after it was written, when an earlier
-// holder of an older version may have acted in between.
+// Guards against a release that is read long after it was written, when an
+// earlier holder that runs an older version may have acted in between.
 TEST(LeaseRelease, EndsWithTheLeaseOfItsTenure) {
   first.Tick(0);
   first.Release(0.5);
@@ -171,7 +173,8 @@
   CHECK(!second.lease.Released());
 }
 
-// The holder freezes before the write leaves, and another host takes over.
+// The holder freezes before its release is sent, and another host acquires the
+// lease. The late write must not be applied.
 TEST(LeaseRelease, ALateWriteDoesNotTouchTheNextTenure) {
   first.Tick(0);
   first.hold_back = true;
@@ -190,7 +193,7 @@
   CHECK(!third.lease.Released());
 }
 
-// The same, and the write arrives when nobody holds the lease.
+// As above, but the write arrives when no host holds the lease.
 TEST(LeaseRelease, ALateWriteWithoutItsRecordIsNotApplied) {
   first.Tick(0);
   first.hold_back = true;
@@ -200,7 +203,7 @@
   CHECK(!HasRelease());
 }
 
-// Guards against a release that is reported as failed and counts later.
+// Guards against a release that is reported as failed and takes effect later.
 TEST(LeaseRelease, WithoutAReplyTheNextHolderWaitsOrKnowsTheRelease) {
   first.Tick(0);
   first.lose_replies = true;
@@ -210,7 +213,8 @@
   CHECK(!second.lease.Released());
 }
 
-// Guards against a release that is lost with the reply to its take-over.
+// Guards against losing a release together with the reply to the transaction
+// that acquires the lease.
 TEST(LeaseRelease, ReadingTheRecordBackKeepsTheRelease) {
   first.Tick(0);
   first.Release(0.5);
@@ -220,7 +224,7 @@
   CHECK(second.lease.Released().has_value());
 }
 
-// Guards against copies of a take-over that arrive after their tenure.
+// Guards against repeated acquire transactions that arrive after their tenure.
 TEST(LeaseRelease, RepeatedTakeOversAreNotApplied) {
   first.Tick(0);
   first.Release(0.5);
@@ -234,7 +238,8 @@
         (LeaseRelease{.host = HostId("b"), .incarnation = 1}));
 }
 
-// Guards against a take-over that ends for good if the release goes meanwhile.
+// Guards against a host that never acquires the lease because the release
+// expires during its acquire transaction.
 TEST(LeaseRelease, TakesOverWhenTheReleaseExpiresMeanwhile) {
   first.Tick(0);
   first.Release(0.5);
@@ -262,7 +267,7 @@
   CHECK(tenure.SuccessorWait(At(4)) == Duration{});
 }
 
-// Guards against calls that arrive after the next holder has begun.
+// Guards against calls that arrive after the next holder has begun to act.
 TEST(DutyTenure, SuccessorsWaitForUnansweredCalls) {
   tenure.OnLeaseAcquired(At(0), {});
   tenure.OnCallEnded(At(0.1), tenure.OnCallStarted(At(0)), CallEnd::kAnswered);
@@ -278,7 +283,7 @@
   CHECK(tenure.SuccessorWait(At(24)) == Duration{});
 }
 
-// Guards against two hosts that act by turns within a lease's length.
+// Guards against two hosts that act alternately within a lease's length.
 TEST(DutyTenure, SuccessorsOfAShortTenureWaitForTheRest) {
   tenure.OnLeaseAcquired(At(0), {});
   CHECK(tenure.SuccessorWait(At(1)) == Duration{});
@@ -290,17 +295,17 @@
 
 namespace {
 
-// What a search switches off, to show that it finds what the parts guard
-// against.
+// Safeguards to disable, which shows that the search detects the faults they
+// prevent.
 struct Mutation {
   bool release_with_calls_under_way = false;
   bool unconditional_release = false;
   bool ignore_short_tenures = false;
 };
 
-// Hosts that take and release a lease in virtual time, the network between them
-// and the store, and a platform that logs which calls arrive. Bytes arrive
-// within a lease's length of being sent, or never.
+// Simulates hosts that acquire and release a lease in virtual time, the network
+// between them and the store, and a platform that logs the arriving calls.
+// Messages arrive within a lease's length of being sent, or never.
 class ReleaseWorld {
  public:
   ReleaseWorld(uint64_t seed, Mutation mutation)
@@ -376,7 +381,8 @@
     this->Tick(host, host.run);
   }
 
-  // Runs when the host isn't frozen; never in a later run of its process.
+  // Runs `event` once the host isn't frozen, but never in a later process of
+  // the host.
   void Deliver(Host& host, uint64_t run, std::function<void()> event) {
     if (host.run != run) {
       return;
@@ -443,7 +449,7 @@
         host.lease->Retire(out);
       }
     });
-    // Its process ends later, and a new one starts.
+    // The process ends later, and a new one starts.
     host.stop_at = At(1e6);
     host.stopping = false;
     this->After(this->Between(milliseconds(50), seconds(3)),
@@ -483,7 +489,8 @@
     }
   }
 
-  // A call to the platform: late or lost, and its answer as well.
+  // Sends a call to the platform. The call and its response may be late or
+  // lost.
   void Call(Host& host) {
     const uint64_t run = host.run;
     const int64_t fencing = host.lease->Fencing();
@@ -522,7 +529,7 @@
       const auto before = this->until.find(host);
       if (before != this->until.end() &&
           this->now - before->second < kLength - milliseconds(100)) {
-        this->violations.push_back("two hosts acted by turns");
+        this->violations.push_back("two hosts acted alternately");
       }
     }
     this->last_caller = host;
@@ -533,7 +540,7 @@
     const auto acting = std::ranges::count_if(
         this->hosts, [this](const auto& host) { return this->MayAct(*host); });
     if (acting > 1) {
-      this->violations.push_back("two hosts may act");
+      this->violations.push_back("two hosts may act at the same time");
     }
   }
 
@@ -547,7 +554,7 @@
     }
   }
 
-  // Carries a message to the store, late, twice or never, and its reply back.
+  // Sends a message to the store, late, twice or never, and returns its reply.
   template <typename Reply>
   void Carry(Host& host,
              const std::function<Reply()>& apply,
@@ -662,9 +669,9 @@
 
 TEST_GROUP(LeaseReleaseSearch){};
 
-// Guards against two hosts that act at a time, calls that arrive after the next
-// holder's, and hosts that act by turns, with stops, kills, freezes and
-// messages late, lost or repeated.
+// Guards against two hosts that act at the same time, calls that arrive after
+// the next holder's, and hosts that act alternately, under stops, kills,
+// freezes and messages that are late, lost or repeated.
 TEST(LeaseReleaseSearch, OneHostActsAtATime) {
   const Found found = Search(400, {});
   STRCMP_EQUAL("", found.first.c_str());
@@ -672,7 +679,7 @@
   CHECK(found.immediate > 500);
 }
 
-// The search finds each fault that the parts of a release guard against.
+// The search must find each fault that the safeguards of a release prevent.
 TEST(LeaseReleaseSearch, FindsCallsUnderWayAtTheRelease) {
   CHECK(Search(100, {.release_with_calls_under_way = true}).violations > 0);
 }
--- a/tests/limits_search_test.cc
+++ b/tests/limits_search_test.cc
@@ -1,6 +1,7 @@
-// Every order of a few steps of three hosts that share one account's limit:
-// messages are delivered, lost or repeated, hosts restart and change their
-// roles, writes to the store take effect late, and time passes.
+// Exhaustive search over short sequences of events at three hosts that share
+// one account's limit: messages are delivered, lost or repeated, hosts restart
+// and change their roles, writes to the store take effect late, and time
+// passes.
 
 #include <CppUTest/TestHarness.h>
 
@@ -43,7 +44,8 @@
   return static_cast<size_t>(host.Text().front() - 'a');
 }
 
-// Tokens of three hosts and on the way between them. No step may make any.
+// The tokens at three hosts and in messages between them. No step may create
+// tokens.
 struct TokenModel {
   struct Message {
     size_t from = 0;
@@ -65,7 +67,7 @@
     for (size_t i = 0; i < kHosts; ++i) {
       this->hosts.push_back(this->Make(i));
     }
-    this->now += std::chrono::seconds(2);  // their parts fill
+    this->now += std::chrono::seconds(2);  // their buckets fill
     this->started = this->now;
   }
 
@@ -116,7 +118,7 @@
     this->Collect(message.to);
   }
 
-  // All tokens there are, and those that were spent.
+  // All existing tokens, and those that were spent.
   double Sum() const {
     double sum = this->admitted;
     for (const AccountLimiter& host : this->hosts) {
@@ -133,7 +135,8 @@
   static constexpr int64_t kCost = 450;
 };
 
-// Plays all continuations of a state; returns how many states were seen.
+// Searches all continuations of a state and returns the number of visited
+// states.
 int64_t SearchTokens(const TokenModel& state, double most, int depth) {
   const double allowed =
       most + kLimit.rate * ToSeconds(state.now - state.started);
@@ -171,14 +174,14 @@
   return seen;
 }
 
-// The record of holders, three hosts and their calls.
+// The record of share holders, three hosts and their store calls.
 struct ShareModel {
   struct Call {
     size_t host = 0;
     int64_t process = 0;
     Instant asked{};
     StoreTransaction transaction;
-    std::optional<StoreReply> reply;  // once it took effect
+    std::optional<StoreReply> reply;  // set once the call has taken effect
   };
 
   std::vector<LimitShares> hosts;
@@ -215,7 +218,7 @@
     this->hosts[host].Stop();
   }
 
-  // The process ends, and a new one knows nothing.
+  // Ends the host's process and starts a new one without state.
   void Restart(size_t host) {
     ++this->processes[host];
     this->hosts[host] = LimitShares(Name(host));
@@ -264,7 +267,7 @@
       this->calls.erase(this->calls.begin() +
                         static_cast<std::ptrdiff_t>(which));
     } else {
-      this->calls[which].process = -1;  // it may take effect later
+      this->calls[which].process = -1;  // may still take effect later
     }
     if (call.process != this->processes[call.host]) {
       return;
@@ -278,7 +281,7 @@
     this->hosts[to].OnPeerRevision(Name(from), this->hosts[from].Revision());
   }
 
-  // Lets a host do all that is due, without a fault.
+  // Runs all calls that a host has due, without a fault.
   void Settle(size_t host) {
     while (this->Ask(host)) {
       this->Carry(this->calls.size() - 1);
--- a/tests/limits_test.cc
+++ b/tests/limits_test.cc
@@ -1,7 +1,7 @@
-// Limits of client accounts that hold over all hosts together.
+// Tests of client account limits that hold over all hosts together.
 
 #include <CppUTest/TestHarness.h>
-// Behind CppUTest's macros.
+// Included after CppUTest's header, which defines macros.
 #include <rapidcheck.h>
 
 #include <algorithm>
@@ -14,11 +14,11 @@
 namespace hickorystand {
 namespace {
 
-constexpr double kWindow = 8;        // seconds
-constexpr double kOverage = 0.1;     // of what a window allows
-constexpr double kSlack = 190000;    // tokens
-constexpr double kStep = 0.01;       // seconds between two looks at the world
-constexpr int64_t kLargest = 57000;  // tokens of a request
+constexpr double kWindow = 8;      // seconds
+constexpr double kOverage = 0.1;   // share of what a window allows
+constexpr double kSlack = 190000;  // tokens
+constexpr double kStep = 0.01;  // seconds between two checks of the simulation
+constexpr int64_t kLargest = 57000;  // tokens of the largest request
 
 const AccountId kBig("big");
 const AccountId kSmall("small");
@@ -34,7 +34,7 @@
   return {{kBig, Limit(400000)}, {kSmall, Limit(47000)}};
 }
 
-// What the operator allows in a window.
+// The most tokens that the configured limit allows in a window.
 double Allowed(const AccountLimit& limit) {
   return (limit.rate * kWindow + limit.burst) * (1 + kOverage) + kSlack;
 }
@@ -47,7 +47,8 @@
                   .slack = kSlack}};
 }
 
-// Offers an account's requests at even intervals, at hosts that `where` names.
+// Offers an account's requests at even intervals to the hosts that `where`
+// returns for their numbers.
 void Play(
     LimitWorld& world,
     const AccountId& account,
@@ -118,8 +119,8 @@
   }
 }
 
-// Guards against a share that a restarted host waits for though nobody else
-// can have it.
+// Guards against a restarted host that waits for a share that no other host can
+// hold.
 TEST(LimitShares, ARestartedHostHasItsShareAtOnce) {
   LimitWorld world(World(6));
   world.Start();
@@ -130,7 +131,8 @@
   DOUBLES_EQUAL(1.0 / 6, world.Own(2), 1e-9);
 }
 
-// Guards against service that stays small for long after a loss of power.
+// Guards against throughput that stays low for long after a power failure of
+// all hosts.
 TEST(LimitShares, AllHostsHaveTheirSharesSoonAfterAllWereKilled) {
   LimitWorld world(World(6));
   world.Start();
@@ -145,8 +147,8 @@
   DOUBLES_EQUAL(1.0, world.OwnSum(), 1e-9);
 }
 
-// Guards against two hosts that use one share: the host that is gone may only
-// be cut off.
+// Guards against two hosts that use the same share: the lost host may only be
+// partitioned and still be running.
 TEST(LimitShares, TheShareOfALostHostGoesToTheOthersOnceItHasEnded) {
   LimitWorld world(World(6));
   world.Start();
@@ -162,7 +164,7 @@
   DOUBLES_EQUAL(1.0, world.OwnSum(), 1e-9);
 }
 
-// Guards against a joining host whose share some holder doesn't know of.
+// Guards against a joining host whose share is unknown to an existing holder.
 TEST(LimitShares, AJoiningHostWaitsForHoldersThatItCanNotReach) {
   LimitWorld world(World(4));
   world.SetScheduler(3, false);
@@ -178,7 +180,7 @@
 }
 
 // Guards against a deletion of a host's own entry that takes effect after the
-// host has come back.
+// host has joined again.
 TEST(LimitShares, AnEarlierWriteThatTakesEffectLateHarmsNothing) {
   LimitWorld world(World(3));
   world.Start();
@@ -196,8 +198,8 @@
   DOUBLES_EQUAL(1.0 / 3, world.Own(1), 1e-9);
 }
 
-// Guards against a share that is used after it was deleted: the host reads that
-// it is taken for gone, and its objection never reaches the store.
+// Guards against a share that is used after its deletion: the host reads that
+// it is marked as gone, and its objection never reaches the store.
 TEST(LimitShares, AHostThatIsMarkedAsGoneDoesNotRenewItsShareByReading) {
   LimitShares shares(HostId("a"));
   Instant now(std::chrono::seconds(100));
@@ -242,7 +244,8 @@
   CHECK(verdict.value_or(LimitVerdict{}).granted);
 }
 
-// Guards against refusals below the limit because of where requests come in.
+// Guards against refusals below the limit that depend on which hosts receive
+// the requests.
 TEST(AccountLimiter, OneHostCanServeAnAccountsWholeDemand) {
   for (int host = 0; host < 6; ++host) {
     LimitWorld world(World(6));
@@ -252,7 +255,8 @@
   }
 }
 
-// Guards against small parts of a small bucket of which none holds a request.
+// Guards against splitting a small token bucket into parts of which none is
+// large enough for a request.
 TEST(AccountLimiter, LargeRequestsOfASmallAccountPassWhereverTheyCome) {
   LimitWorld world(World(6));
   world.Start();
@@ -270,7 +274,8 @@
   CHECK(RefusedShare(world, kBig) < 0.005);
 }
 
-// Guards against an account that takes its hosts' time and tokens from others.
+// Guards against an account that takes processing time and tokens of its hosts
+// from other accounts.
 TEST(AccountLimiter, AnAccountAboveItsLimitDoesNotTouchOthers) {
   LimitWorld world(World(6));
   world.Start();
@@ -315,7 +320,7 @@
   CHECK(all * kCost > 0.95 * 400000 * 10);
 }
 
-// Guards against a part of the fleet that refuses all while it is cut off, and
+// Guards against a partitioned part of the fleet that refuses all requests, and
 // against one that spends more than its share.
 TEST(AccountLimiter, APartThatIsCutOffSpendsItsShareAndNoMore) {
   LimitWorld world(World(6));
@@ -330,8 +335,8 @@
         share + (Allowed(Limit(400000)) - 400000 * kWindow) * 2 / 6);
 }
 
-// Guards against an account that sends all over while zones are cut off from
-// each other.
+// Guards against an account that exceeds its limit by sending to all zones
+// while they are partitioned from each other.
 TEST(AccountLimiter, NoCutLetsAnAccountPassItsLimit) {
   for (const double before : {0.1, 0.5, 3.0}) {
     LimitWorld world(World(6));
@@ -358,7 +363,7 @@
   CHECK(RefusedShare(world, kBig) < 0.005);
 }
 
-// Guards against tokens that come into being with each restart.
+// Guards against additional tokens with each restart of a host.
 TEST(AccountLimiter, RestartsBringNoTokens) {
   LimitWorld world(World(6));
   world.Start();
@@ -395,8 +400,8 @@
   CHECK(RefusedShare(world, kBig) < 0.005);
 }
 
-// A debt in tokens would otherwise block an account for hours whose limit
-// counts requests from now on.
+// Guards against a debt in tokens that remains when the limit changes to
+// requests: it would block the account for hours.
 TEST(AccountLimiter, NeitherTokensNorDebtsCrossAChangeOfTheUnit) {
   const Instant start{};
   AccountLimiter limiter(HostId("a"));
@@ -423,8 +428,8 @@
   LONGS_EQUAL(0, sum.Sum(at(13.1)));
 }
 
-// Guards against an account that is refused for long after it got its limit,
-// and against one that may spend twice when its limit is dropped and set again.
+// Guards against an account that is refused for long after its limit was set,
+// and against one that may spend twice when its limit is removed and set again.
 TEST(AccountLimiter, AccountsThatComeAndGoKeepToTheirLimits) {
   LimitWorld world(World(6));
   world.Start();
@@ -446,8 +451,8 @@
   CHECK(world.MostIn(added, kWindow) <= Allowed(Limit(100000)));
 }
 
-// Guards against tokens that are taken for nothing, and against tokens that
-// are given back twice.
+// Guards against tokens that are spent on a request that didn't run, and
+// against tokens that are returned twice.
 TEST(AccountLimiter, WhatWasNotRunIsGivenBack) {
   LimitWorld world(World(3));
   world.Start();
@@ -458,7 +463,8 @@
   LONGS_EQUAL(1, world.Tally(kBig).admitted);
 }
 
-// Guards against a token that is counted at both ends of a repeated message.
+// Guards against a grant whose tokens are counted at both ends when its message
+// is repeated.
 TEST(AccountLimiter, ARepeatedGrantCountsOnce) {
   AccountLimiter limiter(HostId("a"));
   const Instant now(std::chrono::seconds(10));
@@ -477,7 +483,7 @@
   DOUBLES_EQUAL(held, limiter.Held(now, kBig), 1e-9);
 }
 
-// Guards against refused callers that all come back at once.
+// Guards against refused callers that all retry at the same time.
 TEST(AccountLimiter, RefusedRequestsAreToldDifferentTimes) {
   AccountLimiter limiter(HostId("a"));
   const Instant now(std::chrono::seconds(10));
@@ -499,7 +505,7 @@
 
 namespace {
 
-// Plays random faults beside accounts that send far more than they may.
+// Injects random faults while accounts send far more than their limits allow.
 void PlayFaults(LimitWorld& world, std::mt19937& random, int hosts) {
   const auto any = [&random](int below) {
     return std::uniform_int_distribution<>(0, below - 1)(random);
--- a/tests/membership_test.cc
+++ b/tests/membership_test.cc
@@ -1,4 +1,4 @@
-// Tests of membership and of what hosts say about endpoints.
+// Tests of membership and of the hosts' reports about endpoints.
 
 #include <CppUTest/TestHarness.h>
 
@@ -21,7 +21,7 @@
 PeerHost Host(const std::string& id,
               const DataCentreId& data_centre = kHere,
               uint16_t port = 0) {
-  // A port of its own for each host, unless two shall share one.
+  // Each host has a different port, unless the test sets one.
   const auto own =
       static_cast<uint16_t>(1000 + std::hash<std::string>()(id) % 50000);
   return {.host = HostId(id),
@@ -79,8 +79,8 @@
   CHECK(this->members.Members(this->now).empty());
 }
 
-// The platform's list still names a host that died a minute ago. It must not
-// hold a watch or be anybody's deputy, though links to it go on being tried.
+// The platform's list still contains a host that died a minute ago. It must not
+// hold a watch or be a deputy, though links to it are still attempted.
 TEST(Membership, AListedHostThatIsSilentIsTrustedWithNothing) {
   this->members.OnHostList(this->now, List({Host("a"), Host("c")}));
   CHECK((Ids(this->members.EligibleHosts(this->now, kHere)) ==
@@ -93,9 +93,9 @@
   CHECK((Ids(this->members.Links(this->now)) == Texts{"a", "c"}));
 }
 
-// A host says that it leaves; then an older message of it arrives in which it
-// still lives, and the lagging list says the same. If it were taken for live
-// again, new work would be handed to a process that is about to end.
+// A host announces that it leaves. Then an older message arrives in which it is
+// live, and the outdated list agrees. If it became live again, new work would
+// be sent to a process that is about to end.
 TEST(Membership, LeavingIsFinalWithinAnIncarnation) {
   this->members.OnHostList(this->now, List({Host("a")}));
   this->Hear("a", 1, true);
@@ -106,7 +106,7 @@
   CHECK(this->State("a") == HostState::kLive);
 }
 
-// With the rule switched off, the late message brings the host back to life.
+// With the rule disabled, the late message makes the host live again.
 TEST(Membership, WithoutTheRuleALateMessageUndoesLeaving) {
   Membership without{
       {.self = Host("b"), .incarnation = 5, .leaving_is_final = false}};
@@ -115,9 +115,9 @@
   CHECK(without.StateOf(this->now, HostId("a")) == HostState::kLive);
 }
 
-// The list says that a host leaves, but means the process before: the host was
-// restarted under its id and is heard from. The list lags and stays so for a
-// while, which mustn't keep the new process out.
+// The list marks a host as leaving, but refers to its previous process: the
+// host was restarted under the same id and sends messages. The list stays
+// outdated for a while, which must not exclude the new process.
 TEST(Membership, ALaggingListDoesNotMarkTheNextIncarnation) {
   this->members.OnHostList(this->now, List({Host("a")}));
   this->Hear("a", 1);
@@ -131,7 +131,7 @@
 }
 
 // A host is replaced by another one at the same address. The old one can't
-// come back there, so it goes as soon as it is silent.
+// return there, so it is gone as soon as it is silent.
 TEST(Membership, AHostReplacedUnderItsAddressIsForgotten) {
   this->members.OnHostList(this->now, List({Host("a", kHere, 7000)}));
   this->Hear("a");
@@ -141,8 +141,9 @@
   CHECK((Ids(this->members.Links(this->now)) == Texts{"z"}));
 }
 
-// Two processes bear one id: the one before wakes up after a long pause. What
-// it says is dropped, or its old counters would stand for the new process.
+// Two processes have the same id: the previous one resumes after a long pause.
+// Its messages must be dropped, since its old counters would otherwise count as
+// the new process's.
 TEST(Membership, TheHigherIncarnationWins) {
   const auto hear = [&](uint64_t incarnation) {
     return this->members.OnHostMessage(this->now, HostId("a"), kHere,
@@ -153,8 +154,8 @@
   CHECK(hear(7) == Heard::kCurrent);
 }
 
-// This host itself was replaced while it was paused: a newer process bears its
-// id. It finds out and can drain.
+// This host itself was replaced while it was paused: a newer process has its
+// id. It must detect this, so that it can drain.
 TEST(Membership, NoticesThatItWasReplaced) {
   this->members.OnHostMessage(this->now, HostId("b"), kHere, 4, false);
   CHECK(!this->members.Superseded());
@@ -163,8 +164,8 @@
   CHECK(this->members.Superseded());
 }
 
-// A host whose link breaks over and over would be made representative and lose
-// it again each time, and watches would move to and fro with it.
+// A host whose link fails repeatedly would become representative and lose the
+// rank again each time, and watches would move back and forth with it.
 TEST(Membership, AFlappingHostIsTrustedWithNothing) {
   for (int i = 0; i < 3; ++i) {
     this->Hear("a");
@@ -180,9 +181,9 @@
       (Ids(this->members.EligibleHosts(this->now, kHere)) == Texts{"a", "b"}));
 }
 
-// A and B can't hear each other, but C hears both. Then B and C both hold what
-// A should share with B. That is a watch too many and no harm: there must
-// never be none.
+// A and B can't reach each other, but C receives messages of both. Then B and C
+// both hold what A should share with B. A redundant watch does no harm, but
+// there must never be none.
 TEST(Membership, AOneWayCutLeavesWatchersOnEverySide) {
   std::vector<Membership> hosts;
   for (const std::string id : {"a", "b", "c"}) {
@@ -222,9 +223,10 @@
   CHECK((links("q", kThere) == Texts{"b", "p", "r"}));
 }
 
-// The distant representative is dead, but the list still names it. The data
-// centres would stay apart until the list catches up; instead the next one is
-// asked after a few seconds, and the first one again later.
+// The representative of another data centre is dead, but the list still
+// contains it. The data centres would stay disconnected until the list is
+// updated. Instead the next host must be tried after a few seconds, and the
+// first one again later.
 TEST(Membership, AsksTheNextHostWhenADistantOneIsSilent) {
   Membership host{{.self = Host("a"), .incarnation = 1}};
   host.OnHostList(this->now, List({Host("p", kThere), Host("q", kThere)}));
@@ -268,8 +270,8 @@
   }
 };
 
-// An endpoint leaves. Another host, whose report of it is older, still says
-// that it is fine. It gets no new work until it starts anew.
+// An endpoint leaves, and another host's older report still says that it is
+// available. It must receive no new work until it restarts.
 TEST(EndpointStatusTable, LeavingIsFinalWithinAnIncarnation) {
   this->board.OnNews(this->a, this->News(3, true, false));
   this->board.OnNews(this->b, this->News(3, false, false));
@@ -283,9 +285,9 @@
   CHECK(!this->board.Out(this->endpoint));
 }
 
-// A host loses its way to every endpoint and says that they are all down. Were
-// it believed for good, the whole fleet would refuse its callers. Each host
-// believes it only until it hears from the endpoint itself.
+// A host loses its connections to all endpoints and reports them as down. If
+// that report were final, the whole fleet would refuse requests. Each host must
+// accept it only until the endpoint itself responds.
 TEST(EndpointStatusTable, OneHostsBadViewDoesNotStopTheOthers) {
   this->board.OnNews(this->a, this->News(3, false, true));
   CHECK(this->board.Out(this->endpoint));
@@ -306,9 +308,9 @@
   CHECK(!this->board.Out(this->endpoint));
 }
 
-// One host sees that an endpoint leaves, and the digest that says so is lost
-// on the way to some of the others. They must all keep new work away from it
-// after the second digest.
+// One host detects that an endpoint leaves, and its digest is lost on the way
+// to some of the other hosts. All hosts must stop sending new work to the
+// endpoint after the second digest.
 TEST(EndpointStatusTable, AllKnowWithinTwoDigests) {
   constexpr int kHosts = 16;
   DigestSender sender;
--- a/tests/usage_test.cc
+++ b/tests/usage_test.cc
@@ -1,5 +1,5 @@
-// Tests of usage counting: copies heard twice, late or never, and hosts that
-// die; and of the JSON records.
+// Tests of usage counting with copies that arrive twice, late or never, and
+// with hosts that die; and of the JSON records.
 
 #include <CppUTest/TestHarness.h>
 
@@ -23,8 +23,9 @@
 
 TEST_GROUP(Usage){};
 
-// A copy of a host's counters is heard twice and an older one arrives late.
-// Added up, the customer would be billed for work that was never done.
+// A copy of a host's counters arrives twice and an older one arrives late. If
+// the copies were added up, the account would be billed for work that was never
+// done.
 TEST(Usage, CopiesHeardTwiceOrOutOfOrderCountOnce) {
   UsageLedger ledger;
   for (const int64_t requests : {5, 9, 9, 7}) {
@@ -44,8 +45,8 @@
   LONGS_EQUAL(3, second.figures.at(kAccount).requests);
 }
 
-// A new coordinator has heard less of a host than the window counts that its
-// predecessor closed. It must neither take usage back nor count it again.
+// A new coordinator has received fewer counts of a host than its predecessor's
+// closed window contains. It must neither subtract usage nor count it again.
 TEST(Usage, LedgerThatLagsBehindCountsNothingTwice) {
   UsageLedger ahead;
   ahead.Merge(CopyOf(10));
@@ -67,9 +68,9 @@
   LONGS_EQUAL(13, window.figures.at(kAccount).requests);
 }
 
-// The counters of a host that left long ago are dropped, or windows would grow
-// for ever. Then somebody who still keeps a copy tells of it: all its usage
-// would be billed a second time.
+// The counters of a host that left long ago are dropped, since windows would
+// otherwise grow without limit. If another host then sends a copy that it still
+// keeps, the usage must not be billed a second time.
 TEST(Usage, EndedSourceIsNeverCountedAgain) {
   UsageLedger ledger;
   ledger.Merge(CopyOf(10));
@@ -80,8 +81,8 @@
   CHECK(CloseUsageWindow(first, ledger, 2, 1).figures.empty());
 }
 
-// Whatever copies arrive in whatever order, windows never add up to more than
-// was counted, and to all of it once the last copy was heard.
+// For copies in any order, windows never add up to more than was counted, and
+// they add up to all of it once the last copy has arrived.
 TEST(Usage, WindowsAddUpToWhatWasCounted) {
   std::mt19937_64 random(1);
   for (int run = 0; run < 200; ++run) {
@@ -125,7 +126,7 @@
   CHECK(!DecodeUsageWindow(R"({"figures":{"x":[1,2]}})").has_value());
 }
 
-// The largest site of the target: 18 hosts and 470 client accounts, all in use.
+// The largest expected site has 18 hosts and 470 client accounts, all in use.
 TEST(Usage, WindowOfALargeSiteFitsIntoTheStore) {
   UsageLedger ledger;
   for (int host = 0; host < 18; ++host) {
