--- a/tests/authority_test.cc
+++ b/tests/authority_test.cc
@@ -205,10 +205,10 @@
   CHECK(second.Sent<SendEndpointOrder>().empty());
   CHECK(second.Propose(At(21), kMore).error().kind == ErrorKind::kConflict);
   first.Tick(At(22));
-  const auto told = first.Sent<SendReleaseNotice>();
-  LONGS_EQUAL(1, told.size());
+  const auto notices = first.Sent<SendReleaseNotice>();
+  LONGS_EQUAL(1, notices.size());
   CoordinatorActions actions;
-  second.coordinator.OnReleased(At(22.5), told.front().release, actions);
+  second.coordinator.OnReleased(At(22.5), notices.front().release, actions);
   second.Settle(At(22.5), actions);
   LONGS_EQUAL(1, second.Sent<SendEndpointOrder>().size());
   CHECK(second.Sent<SendEndpointOrder>().front().order.id == *open);
--- a/tests/claims_test.cc
+++ b/tests/claims_test.cc
@@ -26,7 +26,7 @@
 // A claim manager and a store that answers at once, unless a fault is set.
 struct Bench {
   explicit Bench(const std::string& host, ModelStore& store)
-      : store(store), book({.host = HostId(host), .incarnation = 1}) {}
+      : store(store), manager({.host = HostId(host), .incarnation = 1}) {}
 
   void Settle(Instant now, ClaimActions actions) {
     while (!actions.empty()) {
@@ -43,11 +43,11 @@
       this->answers[answer->request.Text()] = answer->result;
     } else if (const auto* grant = std::get_if<GrantLease>(&action)) {
       if (this->down) {
-        this->book.OnLeaseGranted(now, grant->tag,
-                                  Fail(ErrorKind::kPlatformDown, "down"), next);
+        this->manager.OnLeaseGranted(
+            now, grant->tag, Fail(ErrorKind::kPlatformDown, "down"), next);
       } else {
-        this->book.OnLeaseGranted(now, grant->tag,
-                                  this->store.Grant(now, grant->length), next);
+        this->manager.OnLeaseGranted(
+            now, grant->tag, this->store.Grant(now, grant->length), next);
       }
     } else if (const auto* run = std::get_if<RunTransaction>(&action)) {
       StoreReply reply{.outcome = StoreOutcome::kNotApplied};
@@ -57,24 +57,24 @@
       if (this->lose_replies) {
         reply = {.outcome = StoreOutcome::kUnknown};
       }
-      this->book.OnStoreReply(now, run->tag, reply, next);
+      this->manager.OnStoreReply(now, run->tag, reply, next);
     }
   }
 
   void Claim(double at, const std::string& request, const std::string& key) {
     ClaimActions actions;
-    this->book.Claim(At(at),
-                     {.request = RequestId(request),
-                      .key = key,
-                      .window = seconds(600),
-                      .deadline = At(at + 2)},
-                     actions);
+    this->manager.Claim(At(at),
+                        {.request = RequestId(request),
+                         .key = key,
+                         .window = seconds(600),
+                         .deadline = At(at + 2)},
+                        actions);
     this->Settle(At(at), actions);
   }
 
   void Tick(double at) {
     ClaimActions actions;
-    this->book.OnTick(At(at), actions);
+    this->manager.OnTick(At(at), actions);
     this->Settle(At(at), actions);
   }
 
@@ -84,7 +84,7 @@
   }
 
   ModelStore& store;
-  ClaimManager book;
+  ClaimManager manager;
   std::map<std::string, ClaimResult> answers;
   bool down = false;
   bool lose_replies = false;
@@ -148,7 +148,7 @@
   for (double at = 3; at < 10; at += 0.1) {
     first.Tick(at);
   }
-  CHECK(!first.book.Busy());
+  CHECK(!first.manager.Busy());
   second.Claim(10, "r3", "k");
   CHECK(second.Answered("r3", ClaimResult::kGranted));
 }
@@ -159,7 +159,7 @@
 TEST(Claims, WithdrawnClaimFreesItsKeyAndNoOther) {
   first.Claim(0, "r1", "k");
   ClaimActions actions;
-  first.book.Withdraw(At(0.1), RequestId("r1"), actions);
+  first.manager.Withdraw(At(0.1), RequestId("r1"), actions);
   first.Settle(At(0.1), actions);
   second.Claim(0.2, "r2", "k");
   CHECK(second.Answered("r2", ClaimResult::kGranted));
@@ -172,8 +172,8 @@
 // have expired and another host may have claimed the request.
 TEST(Claims, MayNotSendLongAfterTheGrant) {
   first.Claim(0, "r1", "k");
-  CHECK(first.book.MaySend(At(1), RequestId("r1")));
-  CHECK(!first.book.MaySend(At(301), RequestId("r1")));
+  CHECK(first.manager.MaySend(At(1), RequestId("r1")));
+  CHECK(!first.manager.MaySend(At(301), RequestId("r1")));
 }
 
 TEST(Claims, OneTakenKeyDoesNotHoldUpTheOthersOfItsBatch) {
@@ -181,12 +181,12 @@
   first.Claim(0.1, "warm", "k0");  // obtains the store lease
   ClaimActions actions;
   for (int i = 1; i < 6; ++i) {
-    first.book.Claim(At(0.101),
-                     {.request = RequestId("r" + std::to_string(i)),
-                      .key = "k" + std::to_string(i),
-                      .window = seconds(600),
-                      .deadline = At(3)},
-                     actions);
+    first.manager.Claim(At(0.101),
+                        {.request = RequestId("r" + std::to_string(i)),
+                         .key = "k" + std::to_string(i),
+                         .window = seconds(600),
+                         .deadline = At(3)},
+                        actions);
   }
   CHECK(actions.empty());  // wait for their common transaction
   first.Tick(0.2);
@@ -215,7 +215,7 @@
 TEST(Claims, CallsGrowSlowerThanFilings) {
   for (const int64_t rate : {1, 20, 100, 1000, 3000}) {
     ModelStore counted;
-    ClaimManager book({.host = HostId("a"), .incarnation = 1});
+    ClaimManager manager({.host = HostId("a"), .incarnation = 1});
     std::queue<std::pair<Instant, RunTransaction>> asked;
     int64_t granted = 0;
     int64_t filed = 0;
@@ -223,8 +223,8 @@
       for (const ClaimAction& action : actions) {
         if (const auto* grant = std::get_if<GrantLease>(&action)) {
           ClaimActions next;
-          book.OnLeaseGranted(now, grant->tag,
-                              counted.Grant(now, grant->length), next);
+          manager.OnLeaseGranted(now, grant->tag,
+                                 counted.Grant(now, grant->length), next);
           for (const ClaimAction& each : next) {
             if (const auto* run = std::get_if<RunTransaction>(&each)) {
               asked.emplace(now + milliseconds(2), *run);
@@ -233,7 +233,7 @@
         } else if (const auto* run = std::get_if<RunTransaction>(&action)) {
           asked.emplace(now + milliseconds(2), *run);
         } else if (const auto* answer = std::get_if<AnswerClaim>(&action)) {
-          book.Forget(answer->request);
+          manager.Forget(answer->request);
           ++granted;
         }
       }
@@ -244,19 +244,19 @@
       ClaimActions actions;
       for (; at < kSeconds * 1000 && filed * 1000 < at * rate; ++filed) {
         const std::string name = std::to_string(filed);
-        book.Claim(now,
-                   {.request = RequestId(name),
-                    .key = name,
-                    .deadline = now + seconds(2)},
-                   actions);
+        manager.Claim(now,
+                      {.request = RequestId(name),
+                       .key = name,
+                       .deadline = now + seconds(2)},
+                      actions);
       }
       while (!asked.empty() && asked.front().first <= now) {
         const RunTransaction run = asked.front().second;
         asked.pop();
-        book.OnStoreReply(now, run.tag, counted.Transact(now, run.transaction),
-                          actions);
+        manager.OnStoreReply(now, run.tag,
+                             counted.Transact(now, run.transaction), actions);
       }
-      book.OnTick(now, actions);
+      manager.OnTick(now, actions);
       take(now, actions);
     }
     LONGS_EQUAL(filed, granted);
--- a/tests/digest_delta_test.cc
+++ b/tests/digest_delta_test.cc
@@ -74,7 +74,7 @@
 }
 
 // One sender and one receiver, connected by an unreliable link.
-class Line {
+class UnreliableLink {
  public:
   // Runs one random step: the state changes, a digest or an ack is delivered or
   // lost, a connection is replaced, or the sender or the receiver restarts.
@@ -151,7 +151,7 @@
 // loss must leave the receiver with exactly the sender's state.
 TEST(DigestDelta, BothSidesAgreeAfterAnyLosses) {
   CHECK(rc::check("agree", [] {
-    Line line;
+    UnreliableLink line;
     line.Change();
     const int steps = *rc::gen::inRange(0, 60);
     for (int i = 0; i < steps; ++i) {
@@ -201,9 +201,9 @@
 TEST(DigestDelta, ForgetsIdsThatAreGone) {
   DigestSender sender({.removed_retention = 100, .max_removed = 1000});
   DigestReceiver receiver;
-  const HostId deaf("deaf");
+  const HostId silent_host("deaf");
   sender.OnConnected(kReceiver, 1);
-  sender.OnConnected(deaf, 1);
+  sender.OnConnected(silent_host, 1);
   int32_t highest = 0;
   for (int i = 0; i < 20000; ++i) {
     Digest digest = MakeDigest("s");
@@ -216,8 +216,8 @@
     CHECK(receiver.Apply(delta) == DeltaOutcome::kApplied);
     sender.OnAck(kReceiver, receiver.Ack());
     if (i == 0) {
-      sender.Next(deaf);
-      sender.OnAck(deaf, receiver.Ack());
+      sender.Next(silent_host);
+      sender.OnAck(silent_host, receiver.Ack());
     }
   }
   CHECK(highest < 2000);
@@ -266,20 +266,21 @@
         .served.front()
         .cost;
   };
-  const auto say = [&](uint64_t incarnation, uint64_t sequence, int64_t units) {
+  const auto add_digest = [&](uint64_t incarnation, uint64_t sequence,
+                              int64_t units) {
     Digest digest = MakeDigest("h1", incarnation);
     digest.sequence = sequence;
     digest.served = {Served("a1", units * kUnits)};
     summary.OnDigest(digest);
   };
-  say(1, 1, 50);
-  say(1, 2, 60);
+  add_digest(1, 1, 50);
+  add_digest(1, 2, 60);
   LONGS_EQUAL(10 * kSummaryUnit, total());
   summary.OnGone(HostId("h1"));
   LONGS_EQUAL(10 * kSummaryUnit, total());
-  say(1, 3, 65);
+  add_digest(1, 3, 65);
   LONGS_EQUAL(15 * kSummaryUnit, total());
-  say(2, 1, 4);
+  add_digest(2, 1, 4);
   LONGS_EQUAL(19 * kSummaryUnit, total());
 }
 
--- a/tests/fleet_decisions_test.cc
+++ b/tests/fleet_decisions_test.cc
@@ -255,7 +255,7 @@
                            Engine("g1", EndpointRole::kDecode)}));
   RequestProfile shape = LongPrompt(1, 2);
   shape.target = std::chrono::milliseconds(300);
-  const auto wait = [&placement](int64_t tokens) {
+  const auto set_queued_tokens = [&placement](int64_t tokens) {
     placement.OnPeerWork(
         HostId("peer"),
         {{.endpoint = EndpointId("r1"), .prompt_tokens = tokens, .requests = 1},
@@ -265,15 +265,15 @@
   };
   CHECK(std::holds_alternative<PlacementTarget>(
       placement.Place(At(1), shape, {})));
-  wait(8000);  // 211 ms at r1
+  set_queued_tokens(8000);  // 211 ms at r1
   CHECK(std::holds_alternative<PlacementTarget>(
       placement.Place(At(1), shape, {})));
-  wait(10000);  // 264 ms at r1, more at g1
+  set_queued_tokens(10000);  // 264 ms at r1, more at g1
   const PlacementResult verdict = placement.Place(At(1), shape, {});
   CHECK(std::holds_alternative<Refused>(verdict));
-  const Duration back = std::get<Refused>(verdict).retry_after;
-  CHECK(back > std::chrono::milliseconds(20) &&
-        back < std::chrono::milliseconds(60));
+  const Duration retry_time = std::get<Refused>(verdict).retry_after;
+  CHECK(retry_time > std::chrono::milliseconds(20) &&
+        retry_time < std::chrono::milliseconds(60));
   // A stream that broke midway is resumed all the same.
   shape.begun = true;
   CHECK(std::holds_alternative<PlacementTarget>(
@@ -440,11 +440,12 @@
 // five reports immediate prefills. Neither may move the estimate away from that
 // of the other engines.
 TEST(EnginePace, IsNotLedOffByAFewEngines) {
-  const PlayedEngine sound{.tokens_a_second = kGuess};
-  for (const PlayedEngine& odd :
+  const PlayedEngine regular{.tokens_a_second = kGuess};
+  for (const PlayedEngine& outlier :
        {PlayedEngine{.tokens_a_second = kGuess / 100},
         PlayedEngine{.tokens_a_second = kGuess * 1000}}) {
-    const double learned = LearnedFrom({sound, sound, sound, sound, odd}, 500);
+    const double learned =
+        LearnedFrom({regular, regular, regular, regular, outlier}, 500);
     CHECK(learned > kGuess / 1.34);
     CHECK(learned < kGuess * 1.34);
   }
@@ -479,21 +480,21 @@
   FleetRetryBudget budget(
       {.window = std::chrono::seconds(10), .share = 0.2, .slack = 6});
   budget.SetHosts(1);
-  std::vector<Instant> taken;
+  std::vector<Instant> retries;
   for (int i = 0; i < 600; ++i) {
     const Instant now{std::chrono::milliseconds(100 * i)};
     budget.OnRequest(now, kService);
     if (budget.Take(now, kService)) {
-      taken.push_back(now);
+      retries.push_back(now);
     }
   }
-  for (const Instant from : taken) {
-    const auto within = std::ranges::count_if(taken, [from](Instant time) {
+  for (const Instant from : retries) {
+    const auto within = std::ranges::count_if(retries, [from](Instant time) {
       return time >= from && time < from + std::chrono::seconds(10);
     });
     CHECK(within <= 23);
   }
-  CHECK(taken.size() > 100);
+  CHECK(retries.size() > 100);
 }
 
 // A service fails at 89 hosts at once, and each host retries as much as it may.
@@ -586,7 +587,7 @@
     return UsageWindows({.host = HostId(host), .incarnation = incarnation},
                         std::chrono::seconds(5));
   };
-  const auto tell = [](const UsageWindows& from, UsageWindows& to) {
+  const auto send_copies = [](const UsageWindows& from, UsageWindows& to) {
     for (const WindowCopy& copy : from.AllCopies()) {
       to.Merge(*DecodeWindowCopy(EncodeWindowCopy(copy)));
     }
@@ -597,11 +598,11 @@
   second.OnRequestStarted(12000, account);
   (void)first.OwnCopy(12500);
   (void)second.OwnCopy(12500);
-  tell(first, second);
+  send_copies(first, second);
   UsageWindows first_again = make("h1", 2);
-  tell(second, first_again);
+  send_copies(second, first_again);
   UsageWindows second_again = make("h2", 2);
-  tell(first_again, second_again);
+  send_copies(first_again, second_again);
   LONGS_EQUAL(2, second_again.Total(2).at(account));
 }
 
--- a/tests/lease_release_test.cc
+++ b/tests/lease_release_test.cc
@@ -361,7 +361,7 @@
     return Duration(std::uniform_int_distribution<Duration::rep>(
         least.count(), most.count())(this->random));
   }
-  Duration Travel() {
+  Duration NetworkDelay() {
     return this->Chance(0.05)
                ? this->Between(milliseconds(100), milliseconds(5000))
                : this->Between(milliseconds(1), milliseconds(40));
@@ -395,7 +395,7 @@
       return;
     }
     event();
-    this->NoteHolding(host);
+    this->UpdateHolding(host);
   }
 
   void Tick(Host& host, uint64_t run) {
@@ -414,7 +414,8 @@
 
   void TickAlive(Host& host) {
     const Instant clock = this->ClockOf(host);
-    this->Tell(host, [&](auto& out) { host.lease->OnTick(clock, out); });
+    this->RunLeaseEvent(host,
+                        [&](auto& out) { host.lease->OnTick(clock, out); });
     if (this->now >= host.stop_at && !host.stopping) {
       host.stopping = true;
       host.release_by = clock + milliseconds(1200);
@@ -439,10 +440,10 @@
         clock < host.release_by) {
       return;
     }
-    const bool past = this->mutation.ignore_short_tenures;
+    const bool ignore_wait = this->mutation.ignore_short_tenures;
     const Duration wait =
-        early || past ? Duration{} : host.tenure->SuccessorWait(clock);
-    this->Tell(host, [&](auto& out) {
+        early || ignore_wait ? Duration{} : host.tenure->SuccessorWait(clock);
+    this->RunLeaseEvent(host, [&](auto& out) {
       if (host.lease->Held()) {
         host.lease->Release(clock, wait, out);
       } else {
@@ -474,7 +475,7 @@
            host.tenure->MayAct(clock);
   }
 
-  void NoteHolding(Host& host) {
+  void UpdateHolding(Host& host) {
     if (!host.lease || host.lease->Held() == host.held) {
       return;
     }
@@ -544,11 +545,12 @@
     }
   }
 
-  void Tell(Host& host,
-            const std::function<void(std::vector<LeaseAction>&)>& event) {
+  void RunLeaseEvent(
+      Host& host,
+      const std::function<void(std::vector<LeaseAction>&)>& event) {
     std::vector<LeaseAction> actions;
     event(actions);
-    this->NoteHolding(host);
+    this->UpdateHolding(host);
     for (const LeaseAction& action : actions) {
       std::visit([&](const auto& each) { this->Send(host, each); }, action);
     }
@@ -556,28 +558,30 @@
 
   // Sends a message to the store, late, twice or never, and returns its reply.
   template <typename Reply>
-  void Carry(Host& host,
-             const std::function<Reply()>& apply,
-             const std::function<void(const Reply&, std::vector<LeaseAction>&)>&
-                 reply) {
+  void SendToStore(
+      Host& host,
+      const std::function<Reply()>& apply,
+      const std::function<void(const Reply&, std::vector<LeaseAction>&)>&
+          reply) {
     if (this->Chance(0.02)) {
       return;
     }
     if (this->Chance(0.05)) {
-      this->After(this->Travel() + this->Between({}, seconds(4)),
+      this->After(this->NetworkDelay() + this->Between({}, seconds(4)),
                   [apply] { apply(); });
     }
-    this->After(this->Travel(), [this, &host, run = host.run, apply, reply] {
-      const Reply answer = apply();
-      if (this->Chance(0.03)) {
-        return;
-      }
-      this->After(this->Travel(), [this, &host, run, answer, reply] {
-        this->Deliver(host, run, [this, &host, answer, reply] {
-          this->Tell(host, [&](auto& out) { reply(answer, out); });
+    this->After(
+        this->NetworkDelay(), [this, &host, run = host.run, apply, reply] {
+          const Reply answer = apply();
+          if (this->Chance(0.03)) {
+            return;
+          }
+          this->After(this->NetworkDelay(), [this, &host, run, answer, reply] {
+            this->Deliver(host, run, [this, &host, answer, reply] {
+              this->RunLeaseEvent(host, [&](auto& out) { reply(answer, out); });
+            });
+          });
         });
-      });
-    });
   }
 
   void Send(Host& host, const RunTransaction& run) {
@@ -590,7 +594,7 @@
       transaction.then.back().lease = 0;
     }
     const bool unknown = this->Chance(0.03);
-    this->Carry<StoreReply>(
+    this->SendToStore<StoreReply>(
         host,
         [this, transaction] {
           return this->store.Transact(this->now, transaction);
@@ -602,7 +606,7 @@
         });
   }
   void Send(Host& host, const GrantLease& grant) {
-    this->Carry<Result<int64_t>>(
+    this->SendToStore<Result<int64_t>>(
         host,
         [this, grant] { return this->store.Grant(this->now, grant.length); },
         [this, &host, tag = grant.tag](const Result<int64_t>& lease,
@@ -611,7 +615,7 @@
         });
   }
   void Send(Host& host, const RenewLease& renew) {
-    this->Carry<Result<Duration>>(
+    this->SendToStore<Result<Duration>>(
         host,
         [this, renew] { return this->store.Renew(this->now, renew.lease); },
         [this, &host, tag = renew.tag](const Result<Duration>& left,
@@ -620,7 +624,7 @@
         });
   }
   void Send(Host& host, const RevokeLease& revoke) {
-    this->Carry<int>(
+    this->SendToStore<int>(
         host,
         [this, revoke] {
           this->store.Revoke(this->now, revoke.lease);
--- a/tests/limits_search_test.cc
+++ b/tests/limits_search_test.cc
@@ -40,7 +40,7 @@
   return others;
 }
 
-size_t Place(const HostId& host) {
+size_t IndexOf(const HostId& host) {
   return static_cast<size_t>(host.Text().front() - 'a');
 }
 
@@ -83,10 +83,11 @@
   void Collect(size_t host) {
     const LimitEffects effects = this->hosts[host].TakeEffects();
     for (const auto& [to, want] : effects.wants) {
-      this->messages.push_back({.from = host, .to = Place(to), .want = want});
+      this->messages.push_back({.from = host, .to = IndexOf(to), .want = want});
     }
     for (const auto& [to, grant] : effects.grants) {
-      this->messages.push_back({.from = host, .to = Place(to), .grant = grant});
+      this->messages.push_back(
+          {.from = host, .to = IndexOf(to), .grant = grant});
     }
     for (const auto& [ask, verdict] : effects.decided) {
       this->admitted += verdict.granted ? kCost : 0;
@@ -239,7 +240,7 @@
     return due.has_value();
   }
 
-  void Carry(size_t which) {
+  void ApplyCall(size_t which) {
     Call& call = this->calls[which];
     const int64_t has = this->record ? this->record->mod_revision : 0;
     const bool holds = std::ranges::all_of(
@@ -284,7 +285,7 @@
   // Runs all calls that a host has due, without a fault.
   void Settle(size_t host) {
     while (this->Ask(host)) {
-      this->Carry(this->calls.size() - 1);
+      this->ApplyCall(this->calls.size() - 1);
       this->Answer(this->calls.size() - 1, false);
     }
   }
@@ -333,7 +334,7 @@
   }
   for (size_t i = 0; i < state.calls.size(); ++i) {
     if (!state.calls[i].reply) {
-      step([i](ShareModel& next) { next.Carry(i); });
+      step([i](ShareModel& next) { next.ApplyCall(i); });
     }
     if (state.calls[i].process >= 0) {
       step([i](ShareModel& next) { next.Answer(i, false); });
--- a/tests/limits_test.cc
+++ b/tests/limits_test.cc
@@ -49,20 +49,20 @@
 
 // Offers an account's requests at even intervals to the hosts that `where`
 // returns for their numbers.
-void Play(
+void OfferEvenly(
     LimitWorld& world,
     const AccountId& account,
     double tokens_per_second,
     int64_t cost,
     double seconds,
     const std::function<int(int)>& where,
-    const std::function<void(double)>& look = [](double) {}) {
+    const std::function<void(double)>& on_step = [](double) {}) {
   const double gap = static_cast<double>(cost) / tokens_per_second;
   int number = 0;
   for (double at = 0; at < seconds; at += gap) {
     world.Offer(where(number++), account, cost);
     world.Run(gap);
-    look(at);
+    on_step(at);
   }
 }
 
@@ -250,7 +250,8 @@
   for (int host = 0; host < 6; ++host) {
     LimitWorld world(World(6));
     world.Start();
-    Play(world, kBig, 0.95 * 400000, 9200, 10, [host](int) { return host; });
+    OfferEvenly(world, kBig, 0.95 * 400000, 9200, 10,
+                [host](int) { return host; });
     CHECK(RefusedShare(world, kBig) < 0.005);
   }
 }
@@ -260,17 +261,20 @@
 TEST(AccountLimiter, LargeRequestsOfASmallAccountPassWhereverTheyCome) {
   LimitWorld world(World(6));
   world.Start();
-  Play(world, kSmall, 0.95 * 47000, 17000, 60, [](int n) { return n % 6; });
+  OfferEvenly(world, kSmall, 0.95 * 47000, 17000, 60,
+              [](int n) { return n % 6; });
   CHECK(RefusedShare(world, kSmall) < 0.005);
 }
 
 TEST(AccountLimiter, SharesFollowDemandThatMovesToAnotherZone) {
   LimitWorld world(World(6));
   world.Start();
-  Play(world, kBig, 0.95 * 400000, 9200, 5, [](int n) { return n % 2; });
-  Play(world, kBig, 0.95 * 400000, 9200, 2, [](int n) { return 4 + n % 2; });
+  OfferEvenly(world, kBig, 0.95 * 400000, 9200, 5, [](int n) { return n % 2; });
+  OfferEvenly(world, kBig, 0.95 * 400000, 9200, 2,
+              [](int n) { return 4 + n % 2; });
   world.ResetTallies();
-  Play(world, kBig, 0.95 * 400000, 9200, 5, [](int n) { return 4 + n % 2; });
+  OfferEvenly(world, kBig, 0.95 * 400000, 9200, 5,
+              [](int n) { return 4 + n % 2; });
   CHECK(RefusedShare(world, kBig) < 0.005);
 }
 
@@ -279,7 +283,7 @@
 TEST(AccountLimiter, AnAccountAboveItsLimitDoesNotTouchOthers) {
   LimitWorld world(World(6));
   world.Start();
-  Play(
+  OfferEvenly(
       world, kBig, 5 * 400000, 9200, 10, [](int n) { return n % 6; },
       [&world, next = 0.0](double at) mutable {
         if (at >= next) {
@@ -328,7 +332,8 @@
   CutZones(world, 6, 4);
   world.Run(4);
   world.ResetTallies();
-  Play(world, kBig, 3 * 400000, 9200, 10, [](int n) { return 4 + n % 2; });
+  OfferEvenly(world, kBig, 3 * 400000, 9200, 10,
+              [](int n) { return 4 + n % 2; });
   const double share = 400000.0 * 10 * 2 / 6;
   CHECK(world.Tally(kBig).admitted_cost >= 0.95 * share);
   CHECK(world.Tally(kBig).admitted_cost <=
@@ -341,12 +346,15 @@
   for (const double before : {0.1, 0.5, 3.0}) {
     LimitWorld world(World(6));
     world.Start();
-    Play(world, kBig, 400000 * before, 9200, 3, [](int n) { return n % 6; });
+    OfferEvenly(world, kBig, 400000 * before, 9200, 3,
+                [](int n) { return n % 6; });
     CutZones(world, 6, 2);
     CutZones(world, 6, 4);
-    Play(world, kBig, 7.5 * 400000, 9200, 12, [](int n) { return n % 6; });
+    OfferEvenly(world, kBig, 7.5 * 400000, 9200, 12,
+                [](int n) { return n % 6; });
     world.HealAll();
-    Play(world, kBig, 7.5 * 400000, 9200, 12, [](int n) { return n % 6; });
+    OfferEvenly(world, kBig, 7.5 * 400000, 9200, 12,
+                [](int n) { return n % 6; });
     CHECK(world.MostIn(kBig, kWindow) <= Allowed(Limit(400000)));
   }
 }
@@ -355,11 +363,11 @@
   LimitWorld world(World(6));
   world.Start();
   CutZones(world, 6, 4);
-  Play(world, kBig, 0.95 * 400000, 9200, 6, [](int n) { return n % 6; });
+  OfferEvenly(world, kBig, 0.95 * 400000, 9200, 6, [](int n) { return n % 6; });
   world.HealAll();
-  Play(world, kBig, 0.95 * 400000, 9200, 2, [](int) { return 5; });
+  OfferEvenly(world, kBig, 0.95 * 400000, 9200, 2, [](int) { return 5; });
   world.ResetTallies();
-  Play(world, kBig, 0.95 * 400000, 9200, 5, [](int) { return 5; });
+  OfferEvenly(world, kBig, 0.95 * 400000, 9200, 5, [](int) { return 5; });
   CHECK(RefusedShare(world, kBig) < 0.005);
 }
 
@@ -367,7 +375,7 @@
 TEST(AccountLimiter, RestartsBringNoTokens) {
   LimitWorld world(World(6));
   world.Start();
-  Play(
+  OfferEvenly(
       world, kBig, 6 * 400000, 9200, 20, [](int n) { return n % 6; },
       [&world, next = 0](double at) mutable {
         if (at >= next * 0.3) {
@@ -382,21 +390,21 @@
 TEST(AccountLimiter, ALoweredLimitBindsAndARaisedOneIsServed) {
   LimitWorld world(World(6));
   world.Start();
-  Play(world, kBig, 0.95 * 400000, 9200, 5, [](int n) { return n % 6; });
+  OfferEvenly(world, kBig, 0.95 * 400000, 9200, 5, [](int n) { return n % 6; });
   for (int host = 0; host < 6; ++host) {
     world.SetLimits(host, {{kBig, Limit(100000)}});
     world.Run(0.3);
   }
   world.ResetTallies();
-  Play(world, kBig, 400000, 9200, 10, [](int n) { return n % 6; });
+  OfferEvenly(world, kBig, 400000, 9200, 10, [](int n) { return n % 6; });
   CHECK(world.MostIn(kBig, kWindow) <= Allowed(Limit(400000)));
   CHECK(world.Tally(kBig).admitted_cost <= 100000 * 2 + Allowed(Limit(100000)));
   for (int host = 0; host < 6; ++host) {
     world.SetLimits(host, {{kBig, Limit(800000)}});
   }
-  Play(world, kBig, 0.95 * 800000, 9200, 2, [](int n) { return n % 6; });
+  OfferEvenly(world, kBig, 0.95 * 800000, 9200, 2, [](int n) { return n % 6; });
   world.ResetTallies();
-  Play(world, kBig, 0.95 * 800000, 9200, 5, [](int n) { return n % 6; });
+  OfferEvenly(world, kBig, 0.95 * 800000, 9200, 5, [](int n) { return n % 6; });
   CHECK(RefusedShare(world, kBig) < 0.005);
 }
 
@@ -441,7 +449,8 @@
       world.SetLimits(host, with);
     }
     world.ResetTallies();
-    Play(world, added, 0.95 * 100000, 9200, 3, [](int n) { return n % 6; });
+    OfferEvenly(world, added, 0.95 * 100000, 9200, 3,
+                [](int n) { return n % 6; });
     CHECK(RefusedShare(world, added) < 0.005);
     for (int host = 0; host < 6; ++host) {
       world.SetLimits(host, Limits());
@@ -456,7 +465,7 @@
 TEST(AccountLimiter, WhatWasNotRunIsGivenBack) {
   LimitWorld world(World(3));
   world.Start();
-  Play(world, kBig, 10 * 400000, 9200, 1, [](int) { return 0; });
+  OfferEvenly(world, kBig, 10 * 400000, 9200, 1, [](int) { return 0; });
   world.ResetTallies();
   world.GiveBack(0, kBig, 9200);
   world.Offer(0, kBig, 9200);
--- a/tests/membership_test.cc
+++ b/tests/membership_test.cc
@@ -145,13 +145,13 @@
 // Its messages must be dropped, since its old counters would otherwise count as
 // the new process's.
 TEST(Membership, TheHigherIncarnationWins) {
-  const auto hear = [&](uint64_t incarnation) {
+  const auto receive = [&](uint64_t incarnation) {
     return this->members.OnHostMessage(this->now, HostId("a"), kHere,
                                        incarnation, false);
   };
-  CHECK(hear(7) == Heard::kCurrent);
-  CHECK(hear(6) == Heard::kSuperseded);
-  CHECK(hear(7) == Heard::kCurrent);
+  CHECK(receive(7) == Heard::kCurrent);
+  CHECK(receive(6) == Heard::kSuperseded);
+  CHECK(receive(7) == Heard::kCurrent);
 }
 
 // This host itself was replaced while it was paused: a newer process has its
@@ -190,15 +190,15 @@
     hosts.emplace_back(MembershipOptions{.self = Host(id), .incarnation = 1});
     hosts.back().OnHostList(this->now, List({Host("a"), Host("b"), Host("c")}));
   }
-  const auto hear = [&](int to, const std::string& from) {
+  const auto receive = [&](int to, const std::string& from) {
     hosts[to].OnHostMessage(this->now, HostId(from), kHere, 1, false);
   };
   for (int i = 0; i < 20; ++i) {
     this->now += seconds(1);
-    hear(0, "c");
-    hear(1, "c");
-    hear(2, "a");
-    hear(2, "b");
+    receive(0, "c");
+    receive(1, "c");
+    receive(2, "a");
+    receive(2, "b");
     const auto watchers = std::ranges::count_if(
         hosts,
         [&](const Membership& host) { return host.Rank(now) != kNoRank; });
@@ -257,12 +257,12 @@
 }
 
 TEST_GROUP(EndpointStatusTable) {
-  EndpointStatusTable board;
+  EndpointStatusTable table;
   const EndpointId endpoint{"e1"};
   const HostId a{"a"};
   const HostId b{"b"};
 
-  EndpointNews News(uint64_t incarnation, bool leaving, bool down) {
+  EndpointNews MakeStatus(uint64_t incarnation, bool leaving, bool down) {
     return {.endpoint = this->endpoint,
             .incarnation = incarnation,
             .leaving = leaving,
@@ -273,39 +273,39 @@
 // An endpoint leaves, and another host's older report still says that it is
 // available. It must receive no new work until it restarts.
 TEST(EndpointStatusTable, LeavingIsFinalWithinAnIncarnation) {
-  this->board.OnNews(this->a, this->News(3, true, false));
-  this->board.OnNews(this->b, this->News(3, false, false));
-  this->board.OnNews(this->a, std::vector<EndpointNews>{});
-  this->board.OnHostLost(this->a);
-  this->board.OnAlive(this->endpoint, 3);
-  CHECK(this->board.Out(this->endpoint));
-  this->board.OnNews(this->b, this->News(2, false, false));
-  CHECK(this->board.Out(this->endpoint));
-  this->board.OnAlive(this->endpoint, 4);
-  CHECK(!this->board.Out(this->endpoint));
+  this->table.OnNews(this->a, this->MakeStatus(3, true, false));
+  this->table.OnNews(this->b, this->MakeStatus(3, false, false));
+  this->table.OnNews(this->a, std::vector<EndpointNews>{});
+  this->table.OnHostLost(this->a);
+  this->table.OnAlive(this->endpoint, 3);
+  CHECK(this->table.Out(this->endpoint));
+  this->table.OnNews(this->b, this->MakeStatus(2, false, false));
+  CHECK(this->table.Out(this->endpoint));
+  this->table.OnAlive(this->endpoint, 4);
+  CHECK(!this->table.Out(this->endpoint));
 }
 
 // A host loses its connections to all endpoints and reports them as down. If
 // that report were final, the whole fleet would refuse requests. Each host must
 // accept it only until the endpoint itself responds.
 TEST(EndpointStatusTable, OneHostsBadViewDoesNotStopTheOthers) {
-  this->board.OnNews(this->a, this->News(3, false, true));
-  CHECK(this->board.Out(this->endpoint));
-  this->board.OnAlive(this->endpoint, 3);
-  CHECK(!this->board.Out(this->endpoint));
-  this->board.OnNews(this->a, this->News(3, false, true));
-  CHECK(!this->board.Out(this->endpoint));
-  this->board.OnNews(this->b, this->News(3, false, true));
-  CHECK(this->board.Out(this->endpoint));
+  this->table.OnNews(this->a, this->MakeStatus(3, false, true));
+  CHECK(this->table.Out(this->endpoint));
+  this->table.OnAlive(this->endpoint, 3);
+  CHECK(!this->table.Out(this->endpoint));
+  this->table.OnNews(this->a, this->MakeStatus(3, false, true));
+  CHECK(!this->table.Out(this->endpoint));
+  this->table.OnNews(this->b, this->MakeStatus(3, false, true));
+  CHECK(this->table.Out(this->endpoint));
 }
 
 TEST(EndpointStatusTable, DownEndsWhenItIsTakenBackOrItsTellerIsGone) {
-  this->board.OnNews(this->a, this->News(3, false, true));
-  this->board.OnNews(this->b, this->News(3, false, true));
-  this->board.OnNews(this->a, std::vector<EndpointNews>{});
-  CHECK(this->board.Out(this->endpoint));
-  this->board.OnHostLost(this->b);
-  CHECK(!this->board.Out(this->endpoint));
+  this->table.OnNews(this->a, this->MakeStatus(3, false, true));
+  this->table.OnNews(this->b, this->MakeStatus(3, false, true));
+  this->table.OnNews(this->a, std::vector<EndpointNews>{});
+  CHECK(this->table.Out(this->endpoint));
+  this->table.OnHostLost(this->b);
+  CHECK(!this->table.Out(this->endpoint));
 }
 
 // One host detects that an endpoint leaves, and its digest is lost on the way
@@ -315,7 +315,7 @@
   constexpr int kHosts = 16;
   DigestSender sender;
   std::vector<DigestReceiver> receivers(kHosts);
-  std::vector<EndpointStatusTable> boards(kHosts);
+  std::vector<EndpointStatusTable> tables(kHosts);
   Digest digest;
   digest.host = this->a;
   digest.incarnation = 1;
@@ -329,18 +329,18 @@
         continue;
       }
       receivers[i].Apply(delta);
-      boards[i].OnNews(this->a, receivers[i].Current().endpoints);
+      tables[i].OnNews(this->a, receivers[i].Current().endpoints);
       sender.OnAck(to, receivers[i].Ack());
     }
   };
   const auto out = [&] {
-    return std::ranges::count_if(boards, [&](const EndpointStatusTable& one) {
+    return std::ranges::count_if(tables, [&](const EndpointStatusTable& one) {
       return one.Out(this->endpoint);
     });
   };
   round(false);
   LONGS_EQUAL(0, out());
-  digest.endpoints = {this->News(1, true, false)};
+  digest.endpoints = {this->MakeStatus(1, true, false)};
   round(true);
   CHECK(out() < kHosts);
   round(false);
