--- a/tests/fleet_decisions_test.cc
+++ b/tests/fleet_decisions_test.cc
@@ -401,13 +401,13 @@
 
 // An engine that prefills at a constant rate after a fixed delay.
 struct PlayedEngine {
-  double tokens_a_second = 0;
+  double tokens_per_second = 0;
   Duration delay = std::chrono::milliseconds(2);
 
   PrefillMeasurement Read(int64_t tokens) const {
     return {.tokens = tokens,
             .took = this->delay + FromSeconds(static_cast<double>(tokens) /
-                                              this->tokens_a_second)};
+                                              this->tokens_per_second)};
   }
 };
 
@@ -430,7 +430,7 @@
 TEST(EnginePace, FindsEnginesFarFromTheGuess) {
   for (const double factor : {8.0, 2.5, 1.0, 0.4, 0.125}) {
     const double learned =
-        LearnedFrom({{.tokens_a_second = kGuess * factor}}, 40);
+        LearnedFrom({{.tokens_per_second = kGuess * factor}}, 40);
     CHECK(learned > kGuess * factor / 1.34);
     CHECK(learned < kGuess * factor * 1.34);
   }
@@ -440,10 +440,10 @@
 // five reports immediate prefills. Neither may move the estimate away from that
 // of the other engines.
 TEST(EnginePace, IsNotLedOffByAFewEngines) {
-  const PlayedEngine regular{.tokens_a_second = kGuess};
+  const PlayedEngine regular{.tokens_per_second = kGuess};
   for (const PlayedEngine& outlier :
-       {PlayedEngine{.tokens_a_second = kGuess / 100},
-        PlayedEngine{.tokens_a_second = kGuess * 1000}}) {
+       {PlayedEngine{.tokens_per_second = kGuess / 100},
+        PlayedEngine{.tokens_per_second = kGuess * 1000}}) {
     const double learned =
         LearnedFrom({regular, regular, regular, regular, outlier}, 500);
     CHECK(learned > kGuess / 1.34);
@@ -455,7 +455,7 @@
 // invalid figures and those with fewer measurements than its own.
 TEST(EnginePace, AHostThatHasJustStartedTakesOverWhatOthersKnow) {
   EnginePace known({.prompt_tokens = kGuess});
-  const PlayedEngine fast{.tokens_a_second = 8 * kGuess};
+  const PlayedEngine fast{.tokens_per_second = 8 * kGuess};
   for (int i = 0; i < 100; ++i) {
     known.OnRead(fast.Read(4000));
   }
--- a/tests/lease_release_test.cc
+++ b/tests/lease_release_test.cc
@@ -646,15 +646,15 @@
   std::map<std::string, Instant> until;  // last call before another host's
 };
 
-struct Found {
+struct SearchResult {
   int64_t violations = 0;
   int64_t arrivals = 0;
   int64_t immediate = 0;
   std::string first;
 };
 
-Found Search(uint64_t seeds, const Mutation& mutation) {
-  Found found;
+SearchResult Search(uint64_t seeds, const Mutation& mutation) {
+  SearchResult found;
   for (uint64_t seed = 1; seed <= seeds; ++seed) {
     ReleaseWorld world(seed, mutation);
     world.Run();
@@ -677,7 +677,7 @@
 // the next holder's, and hosts that act alternately, under stops, kills,
 // freezes and messages that are late, lost or repeated.
 TEST(LeaseReleaseSearch, OneHostActsAtATime) {
-  const Found found = Search(400, {});
+  const SearchResult found = Search(400, {});
   STRCMP_EQUAL("", found.first.c_str());
   CHECK(found.arrivals > 10000);
   CHECK(found.immediate > 500);
