--- a/tests/claims_test.cc
+++ b/tests/claims_test.cc
@@ -1,5 +1,5 @@
 // Tests of claims: lost replies, a store that is down or slow, duplicates, and
-// how many calls filings cost.
+// the number of store calls per request.
 
 #include <CppUTest/TestHarness.h>
 
@@ -23,10 +23,10 @@
   return Instant(FromSeconds(1000 + seconds));
 }
 
-// A book and a store that answers at once, unless told otherwise.
+// A claim manager and a store that answers at once, unless a fault is set.
 struct Bench {
   explicit Bench(const std::string& host, ModelStore& store)
-      : store(store), book({.host = HostId(host), .incarnation = 1}) {}
+      : store(store), manager({.host = HostId(host), .incarnation = 1}) {}
 
   void Settle(Instant now, ClaimActions actions) {
     while (!actions.empty()) {
@@ -43,11 +43,11 @@
       this->answers[answer->request.Text()] = answer->result;
     } else if (const auto* grant = std::get_if<GrantLease>(&action)) {
       if (this->down) {
-        this->book.OnLeaseGranted(now, grant->tag,
-                                  Fail(ErrorKind::kPlatformDown, "down"), next);
+        this->manager.OnLeaseGranted(
+            now, grant->tag, Fail(ErrorKind::kPlatformDown, "down"), next);
       } else {
-        this->book.OnLeaseGranted(now, grant->tag,
-                                  this->store.Grant(now, grant->length), next);
+        this->manager.OnLeaseGranted(
+            now, grant->tag, this->store.Grant(now, grant->length), next);
       }
     } else if (const auto* run = std::get_if<RunTransaction>(&action)) {
       StoreReply reply{.outcome = StoreOutcome::kNotApplied};
@@ -57,24 +57,24 @@
       if (this->lose_replies) {
         reply = {.outcome = StoreOutcome::kUnknown};
       }
-      this->book.OnStoreReply(now, run->tag, reply, next);
+      this->manager.OnStoreReply(now, run->tag, reply, next);
     }
   }
 
   void Claim(double at, const std::string& request, const std::string& key) {
     ClaimActions actions;
-    this->book.Claim(At(at),
-                     {.request = RequestId(request),
-                      .key = key,
-                      .window = seconds(600),
-                      .deadline = At(at + 2)},
-                     actions);
+    this->manager.Claim(At(at),
+                        {.request = RequestId(request),
+                         .key = key,
+                         .window = seconds(600),
+                         .deadline = At(at + 2)},
+                        actions);
     this->Settle(At(at), actions);
   }
 
   void Tick(double at) {
     ClaimActions actions;
-    this->book.OnTick(At(at), actions);
+    this->manager.OnTick(At(at), actions);
     this->Settle(At(at), actions);
   }
 
@@ -84,7 +84,7 @@
   }
 
   ModelStore& store;
-  ClaimManager book;
+  ClaimManager manager;
   std::map<std::string, ClaimResult> answers;
   bool down = false;
   bool lose_replies = false;
@@ -98,8 +98,9 @@
   Bench second{"b", store};
 };
 
-// A shopkeeper's library sends a petition again through another host, as the
-// first answer was slow. Both would file it, and the fees be paid twice.
+// A client library retries a request through another host because the first
+// response was slow. Without a claim, both would be run and the fees be paid
+// twice.
 TEST(Claims, RepeatThroughAnotherHostIsADuplicate) {
   first.Claim(0, "r1", "k");
   second.Claim(0.1, "r2", "k");
@@ -107,9 +108,10 @@
   CHECK(second.Answered("r2", ClaimResult::kTaken));
 }
 
-// The store takes the claim and its reply is lost. Refused as "not run", the
-// caller would repeat it and be told that it was sent before: the filing would
-// be lost. The unique token shows that the claim is this host's own.
+// The store records the claim and its reply is lost. If the request were
+// answered as "not run", the caller's retry would be rejected as a duplicate
+// and the request be lost. The unique token in the record identifies the host's
+// own claim.
 TEST(Claims, LostReplyIsReadBack) {
   first.lose_replies = true;
   first.Claim(0, "r1", "k");
@@ -127,10 +129,10 @@
   CHECK(second.Answered("r2", ClaimResult::kGranted));
 }
 
-// The reply is lost, and then the store is down until the request's time is up.
-// The answer is unknown, not "not run": a repeat may be refused. The record
-// that nobody will use is removed once the store answers, and the caller may
-// file again.
+// The reply is lost, and then the store is down until the request's deadline.
+// The outcome must be reported as unknown, not as "not run", since a retry may
+// be refused. The unused record must be removed once the store answers, so that
+// the caller may send the request again.
 TEST(Claims, UnknownIsSaidAndLaterCleanedUp) {
   first.lose_replies = true;
   first.Claim(0, "r1", "k");
@@ -146,17 +148,18 @@
   for (double at = 3; at < 10; at += 0.1) {
     first.Tick(at);
   }
-  CHECK(!first.book.Busy());
+  CHECK(!first.manager.Busy());
   second.Claim(10, "r3", "k");
   CHECK(second.Answered("r3", ClaimResult::kGranted));
 }
 
-// A host that was granted a claim finds no endpoint: it answers "not run". The
-// caller's repeat must then be allowed, and only its own claim be removed.
+// A host that was granted a claim finds no endpoint and answers "not run". The
+// caller's retry must then be allowed, and only the host's own claim be
+// removed.
 TEST(Claims, WithdrawnClaimFreesItsKeyAndNoOther) {
   first.Claim(0, "r1", "k");
   ClaimActions actions;
-  first.book.Withdraw(At(0.1), RequestId("r1"), actions);
+  first.manager.Withdraw(At(0.1), RequestId("r1"), actions);
   first.Settle(At(0.1), actions);
   second.Claim(0.2, "r2", "k");
   CHECK(second.Answered("r2", ClaimResult::kGranted));
@@ -165,27 +168,27 @@
   CHECK(first.Answered("r3", ClaimResult::kTaken));
 }
 
-// A host stands still between the grant and the send, for so long that its
-// record may be gone and the filing was claimed anew.
+// A host is paused between the grant and the send, so long that its record may
+// have expired and another host may have claimed the request.
 TEST(Claims, MayNotSendLongAfterTheGrant) {
   first.Claim(0, "r1", "k");
-  CHECK(first.book.MaySend(At(1), RequestId("r1")));
-  CHECK(!first.book.MaySend(At(301), RequestId("r1")));
+  CHECK(first.manager.MaySend(At(1), RequestId("r1")));
+  CHECK(!first.manager.MaySend(At(301), RequestId("r1")));
 }
 
 TEST(Claims, OneTakenKeyDoesNotHoldUpTheOthersOfItsBatch) {
   second.Claim(0, "r0", "k3");
-  first.Claim(0.1, "warm", "k0");  // has the lease granted
+  first.Claim(0.1, "warm", "k0");  // obtains the store lease
   ClaimActions actions;
   for (int i = 1; i < 6; ++i) {
-    first.book.Claim(At(0.101),
-                     {.request = RequestId("r" + std::to_string(i)),
-                      .key = "k" + std::to_string(i),
-                      .window = seconds(600),
-                      .deadline = At(3)},
-                     actions);
+    first.manager.Claim(At(0.101),
+                        {.request = RequestId("r" + std::to_string(i)),
+                         .key = "k" + std::to_string(i),
+                         .window = seconds(600),
+                         .deadline = At(3)},
+                        actions);
   }
-  CHECK(actions.empty());  // they wait for their common transaction
+  CHECK(actions.empty());  // wait for their common transaction
   first.Tick(0.2);
   first.Tick(0.3);
   CHECK(first.Answered("r3", ClaimResult::kTaken));
@@ -207,12 +210,12 @@
   CHECK(key("a", "1", "x") != key("a", "", "x"));
 }
 
-// Calls of the store against filings, for one host whose store answers within
-// 2 ms. Alone a filing costs one call; in a rush they share transactions.
+// Store calls per request, for one host whose store answers within 2 ms. A
+// single request costs one call; at high rates requests share transactions.
 TEST(Claims, CallsGrowSlowerThanFilings) {
   for (const int64_t rate : {1, 20, 100, 1000, 3000}) {
     ModelStore counted;
-    ClaimManager book({.host = HostId("a"), .incarnation = 1});
+    ClaimManager manager({.host = HostId("a"), .incarnation = 1});
     std::queue<std::pair<Instant, RunTransaction>> asked;
     int64_t granted = 0;
     int64_t filed = 0;
@@ -220,8 +223,8 @@
       for (const ClaimAction& action : actions) {
         if (const auto* grant = std::get_if<GrantLease>(&action)) {
           ClaimActions next;
-          book.OnLeaseGranted(now, grant->tag,
-                              counted.Grant(now, grant->length), next);
+          manager.OnLeaseGranted(now, grant->tag,
+                                 counted.Grant(now, grant->length), next);
           for (const ClaimAction& each : next) {
             if (const auto* run = std::get_if<RunTransaction>(&each)) {
               asked.emplace(now + milliseconds(2), *run);
@@ -230,7 +233,7 @@
         } else if (const auto* run = std::get_if<RunTransaction>(&action)) {
           asked.emplace(now + milliseconds(2), *run);
         } else if (const auto* answer = std::get_if<AnswerClaim>(&action)) {
-          book.Forget(answer->request);
+          manager.Forget(answer->request);
           ++granted;
         }
       }
@@ -241,19 +244,19 @@
       ClaimActions actions;
       for (; at < kSeconds * 1000 && filed * 1000 < at * rate; ++filed) {
         const std::string name = std::to_string(filed);
-        book.Claim(now,
-                   {.request = RequestId(name),
-                    .key = name,
-                    .deadline = now + seconds(2)},
-                   actions);
+        manager.Claim(now,
+                      {.request = RequestId(name),
+                       .key = name,
+                       .deadline = now + seconds(2)},
+                      actions);
       }
       while (!asked.empty() && asked.front().first <= now) {
         const RunTransaction run = asked.front().second;
         asked.pop();
-        book.OnStoreReply(now, run.tag, counted.Transact(now, run.transaction),
-                          actions);
+        manager.OnStoreReply(now, run.tag,
+                             counted.Transact(now, run.transaction), actions);
       }
-      book.OnTick(now, actions);
+      manager.OnTick(now, actions);
       take(now, actions);
     }
     LONGS_EQUAL(filed, granted);
--- a/tests/lease_release_test.cc
+++ b/tests/lease_release_test.cc
@@ -1,4 +1,5 @@
-// Tests of the release of a lease: who may act after it, and from when on.
+// Tests of the release of a lease: which host may act after it, and from when
+// on.
 
 #include <CppUTest/TestHarness.h>
 
@@ -39,7 +40,8 @@
   return Instant(FromSeconds(1000 + seconds));
 }
 
-// A lease and the store. Transactions can be held back or lose their replies.
+// A lease and the store, stepped by the test. Transactions can be held back or
+// lose their replies.
 struct HandDriven {
   HandDriven(const std::string& host, ModelStore& store)
       : store(store), lease(OptionsOf(host)) {}
@@ -92,7 +94,7 @@
     this->lease.OnStoreReply(At(at), run.tag, reply, next);
   }
 
-  // A write that was held back arrives.
+  // Applies a held-back write to the store and passes the reply to the lease.
   StoreOutcome DeliverHeldBack(double at) {
     const RunTransaction run = this->held_back.back();
     this->held_back.pop_back();
@@ -124,7 +126,7 @@
   }
 };
 
-// Guards against a wait of a lease's length after an orderly stop.
+// Guards against waiting a full lease length after an orderly stop.
 TEST(LeaseRelease, TellsTheNextHolderItsWait) {
   first.Tick(0);
   CHECK(first.lease.MayAct(At(0.1)));
@@ -139,7 +141,7 @@
   CHECK(!HasRelease());
 }
 
-// Guards against a retired host that takes the lease again.
+// Guards against a retired host that acquires the lease again.
 TEST(LeaseRelease, AHostThatReleasedDoesNotContendAgain) {
   first.Tick(0);
   first.Release(0.5);
@@ -149,7 +151,7 @@
   }
 }
 
-// Guards against a release that outlives the tenure that came after it.
+// Guards against a release that remains in effect after the following tenure.
 TEST(LeaseRelease, CountsForOneTenureOnly) {
   first.Tick(0);
   first.Release(0.5);
@@ -160,8 +162,8 @@
   CHECK(!third.lease.Released());
 }
 
-// Guards against a release read long after it was written, when an earlier
-// holder of an older version may have acted in between.
+// Guards against a release that is read long after it was written, when an
+// earlier holder that runs an older version may have acted in between.
 TEST(LeaseRelease, EndsWithTheLeaseOfItsTenure) {
   first.Tick(0);
   first.Release(0.5);
@@ -171,7 +173,8 @@
   CHECK(!second.lease.Released());
 }
 
-// The holder freezes before the write leaves, and another host takes over.
+// The holder freezes before its release is sent, and another host acquires the
+// lease. The late write must not be applied.
 TEST(LeaseRelease, ALateWriteDoesNotTouchTheNextTenure) {
   first.Tick(0);
   first.hold_back = true;
@@ -190,7 +193,7 @@
   CHECK(!third.lease.Released());
 }
 
-// The same, and the write arrives when nobody holds the lease.
+// As above, but the write arrives when no host holds the lease.
 TEST(LeaseRelease, ALateWriteWithoutItsRecordIsNotApplied) {
   first.Tick(0);
   first.hold_back = true;
@@ -200,7 +203,7 @@
   CHECK(!HasRelease());
 }
 
-// Guards against a release that is reported as failed and counts later.
+// Guards against a release that is reported as failed and takes effect later.
 TEST(LeaseRelease, WithoutAReplyTheNextHolderWaitsOrKnowsTheRelease) {
   first.Tick(0);
   first.lose_replies = true;
@@ -210,7 +213,8 @@
   CHECK(!second.lease.Released());
 }
 
-// Guards against a release that is lost with the reply to its take-over.
+// Guards against losing a release together with the reply to the transaction
+// that acquires the lease.
 TEST(LeaseRelease, ReadingTheRecordBackKeepsTheRelease) {
   first.Tick(0);
   first.Release(0.5);
@@ -220,7 +224,7 @@
   CHECK(second.lease.Released().has_value());
 }
 
-// Guards against copies of a take-over that arrive after their tenure.
+// Guards against repeated acquire transactions that arrive after their tenure.
 TEST(LeaseRelease, RepeatedTakeOversAreNotApplied) {
   first.Tick(0);
   first.Release(0.5);
@@ -234,7 +238,8 @@
         (LeaseRelease{.host = HostId("b"), .incarnation = 1}));
 }
 
-// Guards against a take-over that ends for good if the release goes meanwhile.
+// Guards against a host that never acquires the lease because the release
+// expires during its acquire transaction.
 TEST(LeaseRelease, TakesOverWhenTheReleaseExpiresMeanwhile) {
   first.Tick(0);
   first.Release(0.5);
@@ -262,7 +267,7 @@
   CHECK(tenure.SuccessorWait(At(4)) == Duration{});
 }
 
-// Guards against calls that arrive after the next holder has begun.
+// Guards against calls that arrive after the next holder has begun to act.
 TEST(DutyTenure, SuccessorsWaitForUnansweredCalls) {
   tenure.OnLeaseAcquired(At(0), {});
   tenure.OnCallEnded(At(0.1), tenure.OnCallStarted(At(0)), CallEnd::kAnswered);
@@ -278,7 +283,7 @@
   CHECK(tenure.SuccessorWait(At(24)) == Duration{});
 }
 
-// Guards against two hosts that act by turns within a lease's length.
+// Guards against two hosts that act alternately within a lease's length.
 TEST(DutyTenure, SuccessorsOfAShortTenureWaitForTheRest) {
   tenure.OnLeaseAcquired(At(0), {});
   CHECK(tenure.SuccessorWait(At(1)) == Duration{});
@@ -290,17 +295,17 @@
 
 namespace {
 
-// What a search switches off, to show that it finds what the parts guard
-// against.
+// Safeguards to disable, which shows that the search detects the faults they
+// prevent.
 struct Mutation {
   bool release_with_calls_under_way = false;
   bool unconditional_release = false;
   bool ignore_short_tenures = false;
 };
 
-// Hosts that take and release a lease in virtual time, the network between them
-// and the store, and a platform that logs which calls arrive. Bytes arrive
-// within a lease's length of being sent, or never.
+// Simulates hosts that acquire and release a lease in virtual time, the network
+// between them and the store, and a platform that logs the arriving calls.
+// Messages arrive within a lease's length of being sent, or never.
 class ReleaseWorld {
  public:
   ReleaseWorld(uint64_t seed, Mutation mutation)
@@ -356,7 +361,7 @@
     return Duration(std::uniform_int_distribution<Duration::rep>(
         least.count(), most.count())(this->random));
   }
-  Duration Travel() {
+  Duration NetworkDelay() {
     return this->Chance(0.05)
                ? this->Between(milliseconds(100), milliseconds(5000))
                : this->Between(milliseconds(1), milliseconds(40));
@@ -376,7 +381,8 @@
     this->Tick(host, host.run);
   }
 
-  // Runs when the host isn't frozen; never in a later run of its process.
+  // Runs `event` once the host isn't frozen, but never in a later process of
+  // the host.
   void Deliver(Host& host, uint64_t run, std::function<void()> event) {
     if (host.run != run) {
       return;
@@ -389,7 +395,7 @@
       return;
     }
     event();
-    this->NoteHolding(host);
+    this->UpdateHolding(host);
   }
 
   void Tick(Host& host, uint64_t run) {
@@ -408,7 +414,8 @@
 
   void TickAlive(Host& host) {
     const Instant clock = this->ClockOf(host);
-    this->Tell(host, [&](auto& out) { host.lease->OnTick(clock, out); });
+    this->RunLeaseEvent(host,
+                        [&](auto& out) { host.lease->OnTick(clock, out); });
     if (this->now >= host.stop_at && !host.stopping) {
       host.stopping = true;
       host.release_by = clock + milliseconds(1200);
@@ -433,17 +440,17 @@
         clock < host.release_by) {
       return;
     }
-    const bool past = this->mutation.ignore_short_tenures;
+    const bool ignore_wait = this->mutation.ignore_short_tenures;
     const Duration wait =
-        early || past ? Duration{} : host.tenure->SuccessorWait(clock);
-    this->Tell(host, [&](auto& out) {
+        early || ignore_wait ? Duration{} : host.tenure->SuccessorWait(clock);
+    this->RunLeaseEvent(host, [&](auto& out) {
       if (host.lease->Held()) {
         host.lease->Release(clock, wait, out);
       } else {
         host.lease->Retire(out);
       }
     });
-    // Its process ends later, and a new one starts.
+    // The process ends later, and a new one starts.
     host.stop_at = At(1e6);
     host.stopping = false;
     this->After(this->Between(milliseconds(50), seconds(3)),
@@ -468,7 +475,7 @@
            host.tenure->MayAct(clock);
   }
 
-  void NoteHolding(Host& host) {
+  void UpdateHolding(Host& host) {
     if (!host.lease || host.lease->Held() == host.held) {
       return;
     }
@@ -483,7 +490,8 @@
     }
   }
 
-  // A call to the platform: late or lost, and its answer as well.
+  // Sends a call to the platform. The call and its response may be late or
+  // lost.
   void Call(Host& host) {
     const uint64_t run = host.run;
     const int64_t fencing = host.lease->Fencing();
@@ -522,7 +530,7 @@
       const auto before = this->until.find(host);
       if (before != this->until.end() &&
           this->now - before->second < kLength - milliseconds(100)) {
-        this->violations.push_back("two hosts acted by turns");
+        this->violations.push_back("two hosts acted alternately");
       }
     }
     this->last_caller = host;
@@ -533,44 +541,47 @@
     const auto acting = std::ranges::count_if(
         this->hosts, [this](const auto& host) { return this->MayAct(*host); });
     if (acting > 1) {
-      this->violations.push_back("two hosts may act");
+      this->violations.push_back("two hosts may act at the same time");
     }
   }
 
-  void Tell(Host& host,
-            const std::function<void(std::vector<LeaseAction>&)>& event) {
+  void RunLeaseEvent(
+      Host& host,
+      const std::function<void(std::vector<LeaseAction>&)>& event) {
     std::vector<LeaseAction> actions;
     event(actions);
-    this->NoteHolding(host);
+    this->UpdateHolding(host);
     for (const LeaseAction& action : actions) {
       std::visit([&](const auto& each) { this->Send(host, each); }, action);
     }
   }
 
-  // Carries a message to the store, late, twice or never, and its reply back.
+  // Sends a message to the store, late, twice or never, and returns its reply.
   template <typename Reply>
-  void Carry(Host& host,
-             const std::function<Reply()>& apply,
-             const std::function<void(const Reply&, std::vector<LeaseAction>&)>&
-                 reply) {
+  void SendToStore(
+      Host& host,
+      const std::function<Reply()>& apply,
+      const std::function<void(const Reply&, std::vector<LeaseAction>&)>&
+          reply) {
     if (this->Chance(0.02)) {
       return;
     }
     if (this->Chance(0.05)) {
-      this->After(this->Travel() + this->Between({}, seconds(4)),
+      this->After(this->NetworkDelay() + this->Between({}, seconds(4)),
                   [apply] { apply(); });
     }
-    this->After(this->Travel(), [this, &host, run = host.run, apply, reply] {
-      const Reply answer = apply();
-      if (this->Chance(0.03)) {
-        return;
-      }
-      this->After(this->Travel(), [this, &host, run, answer, reply] {
-        this->Deliver(host, run, [this, &host, answer, reply] {
-          this->Tell(host, [&](auto& out) { reply(answer, out); });
+    this->After(
+        this->NetworkDelay(), [this, &host, run = host.run, apply, reply] {
+          const Reply answer = apply();
+          if (this->Chance(0.03)) {
+            return;
+          }
+          this->After(this->NetworkDelay(), [this, &host, run, answer, reply] {
+            this->Deliver(host, run, [this, &host, answer, reply] {
+              this->RunLeaseEvent(host, [&](auto& out) { reply(answer, out); });
+            });
+          });
         });
-      });
-    });
   }
 
   void Send(Host& host, const RunTransaction& run) {
@@ -583,7 +594,7 @@
       transaction.then.back().lease = 0;
     }
     const bool unknown = this->Chance(0.03);
-    this->Carry<StoreReply>(
+    this->SendToStore<StoreReply>(
         host,
         [this, transaction] {
           return this->store.Transact(this->now, transaction);
@@ -595,7 +606,7 @@
         });
   }
   void Send(Host& host, const GrantLease& grant) {
-    this->Carry<Result<int64_t>>(
+    this->SendToStore<Result<int64_t>>(
         host,
         [this, grant] { return this->store.Grant(this->now, grant.length); },
         [this, &host, tag = grant.tag](const Result<int64_t>& lease,
@@ -604,7 +615,7 @@
         });
   }
   void Send(Host& host, const RenewLease& renew) {
-    this->Carry<Result<Duration>>(
+    this->SendToStore<Result<Duration>>(
         host,
         [this, renew] { return this->store.Renew(this->now, renew.lease); },
         [this, &host, tag = renew.tag](const Result<Duration>& left,
@@ -613,7 +624,7 @@
         });
   }
   void Send(Host& host, const RevokeLease& revoke) {
-    this->Carry<int>(
+    this->SendToStore<int>(
         host,
         [this, revoke] {
           this->store.Revoke(this->now, revoke.lease);
@@ -635,15 +646,15 @@
   std::map<std::string, Instant> until;  // last call before another host's
 };
 
-struct Found {
+struct SearchResult {
   int64_t violations = 0;
   int64_t arrivals = 0;
   int64_t immediate = 0;
   std::string first;
 };
 
-Found Search(uint64_t seeds, const Mutation& mutation) {
-  Found found;
+SearchResult Search(uint64_t seeds, const Mutation& mutation) {
+  SearchResult found;
   for (uint64_t seed = 1; seed <= seeds; ++seed) {
     ReleaseWorld world(seed, mutation);
     world.Run();
@@ -662,17 +673,17 @@
 
 TEST_GROUP(LeaseReleaseSearch){};
 
-// Guards against two hosts that act at a time, calls that arrive after the next
-// holder's, and hosts that act by turns, with stops, kills, freezes and
-// messages late, lost or repeated.
+// Guards against two hosts that act at the same time, calls that arrive after
+// the next holder's, and hosts that act alternately, under stops, kills,
+// freezes and messages that are late, lost or repeated.
 TEST(LeaseReleaseSearch, OneHostActsAtATime) {
-  const Found found = Search(400, {});
+  const SearchResult found = Search(400, {});
   STRCMP_EQUAL("", found.first.c_str());
   CHECK(found.arrivals > 10000);
   CHECK(found.immediate > 500);
 }
 
-// The search finds each fault that the parts of a release guard against.
+// The search must find each fault that the safeguards of a release prevent.
 TEST(LeaseReleaseSearch, FindsCallsUnderWayAtTheRelease) {
   CHECK(Search(100, {.release_with_calls_under_way = true}).violations > 0);
 }
--- a/tests/limits_search_test.cc
+++ b/tests/limits_search_test.cc
@@ -1,6 +1,7 @@
-// Every order of a few steps of three hosts that share one account's limit:
-// messages are delivered, lost or repeated, hosts restart and change their
-// roles, writes to the store take effect late, and time passes.
+// Exhaustive search over short sequences of events at three hosts that share
+// one account's limit: messages are delivered, lost or repeated, hosts restart
+// and change their roles, writes to the store take effect late, and time
+// passes.
 
 #include <CppUTest/TestHarness.h>
 
@@ -39,11 +40,12 @@
   return others;
 }
 
-size_t Place(const HostId& host) {
+size_t IndexOf(const HostId& host) {
   return static_cast<size_t>(host.Text().front() - 'a');
 }
 
-// Tokens of three hosts and on the way between them. No step may make any.
+// The tokens at three hosts and in messages between them. No step may create
+// tokens.
 struct TokenModel {
   struct Message {
     size_t from = 0;
@@ -65,7 +67,7 @@
     for (size_t i = 0; i < kHosts; ++i) {
       this->hosts.push_back(this->Make(i));
     }
-    this->now += std::chrono::seconds(2);  // their parts fill
+    this->now += std::chrono::seconds(2);  // their buckets fill
     this->started = this->now;
   }
 
@@ -81,10 +83,11 @@
   void Collect(size_t host) {
     const LimitEffects effects = this->hosts[host].TakeEffects();
     for (const auto& [to, want] : effects.wants) {
-      this->messages.push_back({.from = host, .to = Place(to), .want = want});
+      this->messages.push_back({.from = host, .to = IndexOf(to), .want = want});
     }
     for (const auto& [to, grant] : effects.grants) {
-      this->messages.push_back({.from = host, .to = Place(to), .grant = grant});
+      this->messages.push_back(
+          {.from = host, .to = IndexOf(to), .grant = grant});
     }
     for (const auto& [ask, verdict] : effects.decided) {
       this->admitted += verdict.granted ? kCost : 0;
@@ -116,7 +119,7 @@
     this->Collect(message.to);
   }
 
-  // All tokens there are, and those that were spent.
+  // All existing tokens, and those that were spent.
   double Sum() const {
     double sum = this->admitted;
     for (const AccountLimiter& host : this->hosts) {
@@ -133,7 +136,8 @@
   static constexpr int64_t kCost = 450;
 };
 
-// Plays all continuations of a state; returns how many states were seen.
+// Searches all continuations of a state and returns the number of visited
+// states.
 int64_t SearchTokens(const TokenModel& state, double most, int depth) {
   const double allowed =
       most + kLimit.rate * ToSeconds(state.now - state.started);
@@ -171,14 +175,14 @@
   return seen;
 }
 
-// The record of holders, three hosts and their calls.
+// The record of share holders, three hosts and their store calls.
 struct ShareModel {
   struct Call {
     size_t host = 0;
     int64_t process = 0;
     Instant asked{};
     StoreTransaction transaction;
-    std::optional<StoreReply> reply;  // once it took effect
+    std::optional<StoreReply> reply;  // set once the call has taken effect
   };
 
   std::vector<LimitShares> hosts;
@@ -215,7 +219,7 @@
     this->hosts[host].Stop();
   }
 
-  // The process ends, and a new one knows nothing.
+  // Ends the host's process and starts a new one without state.
   void Restart(size_t host) {
     ++this->processes[host];
     this->hosts[host] = LimitShares(Name(host));
@@ -236,7 +240,7 @@
     return due.has_value();
   }
 
-  void Carry(size_t which) {
+  void ApplyCall(size_t which) {
     Call& call = this->calls[which];
     const int64_t has = this->record ? this->record->mod_revision : 0;
     const bool holds = std::ranges::all_of(
@@ -264,7 +268,7 @@
       this->calls.erase(this->calls.begin() +
                         static_cast<std::ptrdiff_t>(which));
     } else {
-      this->calls[which].process = -1;  // it may take effect later
+      this->calls[which].process = -1;  // may still take effect later
     }
     if (call.process != this->processes[call.host]) {
       return;
@@ -278,10 +282,10 @@
     this->hosts[to].OnPeerRevision(Name(from), this->hosts[from].Revision());
   }
 
-  // Lets a host do all that is due, without a fault.
+  // Runs all calls that a host has due, without a fault.
   void Settle(size_t host) {
     while (this->Ask(host)) {
-      this->Carry(this->calls.size() - 1);
+      this->ApplyCall(this->calls.size() - 1);
       this->Answer(this->calls.size() - 1, false);
     }
   }
@@ -330,7 +334,7 @@
   }
   for (size_t i = 0; i < state.calls.size(); ++i) {
     if (!state.calls[i].reply) {
-      step([i](ShareModel& next) { next.Carry(i); });
+      step([i](ShareModel& next) { next.ApplyCall(i); });
     }
     if (state.calls[i].process >= 0) {
       step([i](ShareModel& next) { next.Answer(i, false); });
--- a/tests/limits_test.cc
+++ b/tests/limits_test.cc
@@ -1,7 +1,7 @@
-// Limits of client accounts that hold over all hosts together.
+// Tests of client account limits that hold over all hosts together.
 
 #include <CppUTest/TestHarness.h>
-// Behind CppUTest's macros.
+// Included after CppUTest's header, which defines macros.
 #include <rapidcheck.h>
 
 #include <algorithm>
@@ -14,11 +14,11 @@
 namespace hickorystand {
 namespace {
 
-constexpr double kWindow = 8;        // seconds
-constexpr double kOverage = 0.1;     // of what a window allows
-constexpr double kSlack = 190000;    // tokens
-constexpr double kStep = 0.01;       // seconds between two looks at the world
-constexpr int64_t kLargest = 57000;  // tokens of a request
+constexpr double kWindow = 8;      // seconds
+constexpr double kOverage = 0.1;   // share of what a window allows
+constexpr double kSlack = 190000;  // tokens
+constexpr double kStep = 0.01;  // seconds between two checks of the simulation
+constexpr int64_t kLargest = 57000;  // tokens of the largest request
 
 const AccountId kBig("big");
 const AccountId kSmall("small");
@@ -34,7 +34,7 @@
   return {{kBig, Limit(400000)}, {kSmall, Limit(47000)}};
 }
 
-// What the operator allows in a window.
+// The most tokens that the configured limit allows in a window.
 double Allowed(const AccountLimit& limit) {
   return (limit.rate * kWindow + limit.burst) * (1 + kOverage) + kSlack;
 }
@@ -47,21 +47,22 @@
                   .slack = kSlack}};
 }
 
-// Offers an account's requests at even intervals, at hosts that `where` names.
-void Play(
+// Offers an account's requests at even intervals to the hosts that `where`
+// returns for their numbers.
+void OfferEvenly(
     LimitWorld& world,
     const AccountId& account,
     double tokens_per_second,
     int64_t cost,
     double seconds,
     const std::function<int(int)>& where,
-    const std::function<void(double)>& look = [](double) {}) {
+    const std::function<void(double)>& on_step = [](double) {}) {
   const double gap = static_cast<double>(cost) / tokens_per_second;
   int number = 0;
   for (double at = 0; at < seconds; at += gap) {
     world.Offer(where(number++), account, cost);
     world.Run(gap);
-    look(at);
+    on_step(at);
   }
 }
 
@@ -118,8 +119,8 @@
   }
 }
 
-// Guards against a share that a restarted host waits for though nobody else
-// can have it.
+// Guards against a restarted host that waits for a share that no other host can
+// hold.
 TEST(LimitShares, ARestartedHostHasItsShareAtOnce) {
   LimitWorld world(World(6));
   world.Start();
@@ -130,7 +131,8 @@
   DOUBLES_EQUAL(1.0 / 6, world.Own(2), 1e-9);
 }
 
-// Guards against service that stays small for long after a loss of power.
+// Guards against throughput that stays low for long after a power failure of
+// all hosts.
 TEST(LimitShares, AllHostsHaveTheirSharesSoonAfterAllWereKilled) {
   LimitWorld world(World(6));
   world.Start();
@@ -145,8 +147,8 @@
   DOUBLES_EQUAL(1.0, world.OwnSum(), 1e-9);
 }
 
-// Guards against two hosts that use one share: the host that is gone may only
-// be cut off.
+// Guards against two hosts that use the same share: the lost host may only be
+// partitioned and still be running.
 TEST(LimitShares, TheShareOfALostHostGoesToTheOthersOnceItHasEnded) {
   LimitWorld world(World(6));
   world.Start();
@@ -162,7 +164,7 @@
   DOUBLES_EQUAL(1.0, world.OwnSum(), 1e-9);
 }
 
-// Guards against a joining host whose share some holder doesn't know of.
+// Guards against a joining host whose share is unknown to an existing holder.
 TEST(LimitShares, AJoiningHostWaitsForHoldersThatItCanNotReach) {
   LimitWorld world(World(4));
   world.SetScheduler(3, false);
@@ -178,7 +180,7 @@
 }
 
 // Guards against a deletion of a host's own entry that takes effect after the
-// host has come back.
+// host has joined again.
 TEST(LimitShares, AnEarlierWriteThatTakesEffectLateHarmsNothing) {
   LimitWorld world(World(3));
   world.Start();
@@ -196,8 +198,8 @@
   DOUBLES_EQUAL(1.0 / 3, world.Own(1), 1e-9);
 }
 
-// Guards against a share that is used after it was deleted: the host reads that
-// it is taken for gone, and its objection never reaches the store.
+// Guards against a share that is used after its deletion: the host reads that
+// it is marked as gone, and its objection never reaches the store.
 TEST(LimitShares, AHostThatIsMarkedAsGoneDoesNotRenewItsShareByReading) {
   LimitShares shares(HostId("a"));
   Instant now(std::chrono::seconds(100));
@@ -242,39 +244,46 @@
   CHECK(verdict.value_or(LimitVerdict{}).granted);
 }
 
-// Guards against refusals below the limit because of where requests come in.
+// Guards against refusals below the limit that depend on which hosts receive
+// the requests.
 TEST(AccountLimiter, OneHostCanServeAnAccountsWholeDemand) {
   for (int host = 0; host < 6; ++host) {
     LimitWorld world(World(6));
     world.Start();
-    Play(world, kBig, 0.95 * 400000, 9200, 10, [host](int) { return host; });
+    OfferEvenly(world, kBig, 0.95 * 400000, 9200, 10,
+                [host](int) { return host; });
     CHECK(RefusedShare(world, kBig) < 0.005);
   }
 }
 
-// Guards against small parts of a small bucket of which none holds a request.
+// Guards against splitting a small token bucket into parts of which none is
+// large enough for a request.
 TEST(AccountLimiter, LargeRequestsOfASmallAccountPassWhereverTheyCome) {
   LimitWorld world(World(6));
   world.Start();
-  Play(world, kSmall, 0.95 * 47000, 17000, 60, [](int n) { return n % 6; });
+  OfferEvenly(world, kSmall, 0.95 * 47000, 17000, 60,
+              [](int n) { return n % 6; });
   CHECK(RefusedShare(world, kSmall) < 0.005);
 }
 
 TEST(AccountLimiter, SharesFollowDemandThatMovesToAnotherZone) {
   LimitWorld world(World(6));
   world.Start();
-  Play(world, kBig, 0.95 * 400000, 9200, 5, [](int n) { return n % 2; });
-  Play(world, kBig, 0.95 * 400000, 9200, 2, [](int n) { return 4 + n % 2; });
+  OfferEvenly(world, kBig, 0.95 * 400000, 9200, 5, [](int n) { return n % 2; });
+  OfferEvenly(world, kBig, 0.95 * 400000, 9200, 2,
+              [](int n) { return 4 + n % 2; });
   world.ResetTallies();
-  Play(world, kBig, 0.95 * 400000, 9200, 5, [](int n) { return 4 + n % 2; });
+  OfferEvenly(world, kBig, 0.95 * 400000, 9200, 5,
+              [](int n) { return 4 + n % 2; });
   CHECK(RefusedShare(world, kBig) < 0.005);
 }
 
-// Guards against an account that takes its hosts' time and tokens from others.
+// Guards against an account that takes processing time and tokens of its hosts
+// from other accounts.
 TEST(AccountLimiter, AnAccountAboveItsLimitDoesNotTouchOthers) {
   LimitWorld world(World(6));
   world.Start();
-  Play(
+  OfferEvenly(
       world, kBig, 5 * 400000, 9200, 10, [](int n) { return n % 6; },
       [&world, next = 0.0](double at) mutable {
         if (at >= next) {
@@ -315,7 +324,7 @@
   CHECK(all * kCost > 0.95 * 400000 * 10);
 }
 
-// Guards against a part of the fleet that refuses all while it is cut off, and
+// Guards against a partitioned part of the fleet that refuses all requests, and
 // against one that spends more than its share.
 TEST(AccountLimiter, APartThatIsCutOffSpendsItsShareAndNoMore) {
   LimitWorld world(World(6));
@@ -323,25 +332,29 @@
   CutZones(world, 6, 4);
   world.Run(4);
   world.ResetTallies();
-  Play(world, kBig, 3 * 400000, 9200, 10, [](int n) { return 4 + n % 2; });
+  OfferEvenly(world, kBig, 3 * 400000, 9200, 10,
+              [](int n) { return 4 + n % 2; });
   const double share = 400000.0 * 10 * 2 / 6;
   CHECK(world.Tally(kBig).admitted_cost >= 0.95 * share);
   CHECK(world.Tally(kBig).admitted_cost <=
         share + (Allowed(Limit(400000)) - 400000 * kWindow) * 2 / 6);
 }
 
-// Guards against an account that sends all over while zones are cut off from
-// each other.
+// Guards against an account that exceeds its limit by sending to all zones
+// while they are partitioned from each other.
 TEST(AccountLimiter, NoCutLetsAnAccountPassItsLimit) {
   for (const double before : {0.1, 0.5, 3.0}) {
     LimitWorld world(World(6));
     world.Start();
-    Play(world, kBig, 400000 * before, 9200, 3, [](int n) { return n % 6; });
+    OfferEvenly(world, kBig, 400000 * before, 9200, 3,
+                [](int n) { return n % 6; });
     CutZones(world, 6, 2);
     CutZones(world, 6, 4);
-    Play(world, kBig, 7.5 * 400000, 9200, 12, [](int n) { return n % 6; });
+    OfferEvenly(world, kBig, 7.5 * 400000, 9200, 12,
+                [](int n) { return n % 6; });
     world.HealAll();
-    Play(world, kBig, 7.5 * 400000, 9200, 12, [](int n) { return n % 6; });
+    OfferEvenly(world, kBig, 7.5 * 400000, 9200, 12,
+                [](int n) { return n % 6; });
     CHECK(world.MostIn(kBig, kWindow) <= Allowed(Limit(400000)));
   }
 }
@@ -350,19 +363,19 @@
   LimitWorld world(World(6));
   world.Start();
   CutZones(world, 6, 4);
-  Play(world, kBig, 0.95 * 400000, 9200, 6, [](int n) { return n % 6; });
+  OfferEvenly(world, kBig, 0.95 * 400000, 9200, 6, [](int n) { return n % 6; });
   world.HealAll();
-  Play(world, kBig, 0.95 * 400000, 9200, 2, [](int) { return 5; });
+  OfferEvenly(world, kBig, 0.95 * 400000, 9200, 2, [](int) { return 5; });
   world.ResetTallies();
-  Play(world, kBig, 0.95 * 400000, 9200, 5, [](int) { return 5; });
+  OfferEvenly(world, kBig, 0.95 * 400000, 9200, 5, [](int) { return 5; });
   CHECK(RefusedShare(world, kBig) < 0.005);
 }
 
-// Guards against tokens that come into being with each restart.
+// Guards against additional tokens with each restart of a host.
 TEST(AccountLimiter, RestartsBringNoTokens) {
   LimitWorld world(World(6));
   world.Start();
-  Play(
+  OfferEvenly(
       world, kBig, 6 * 400000, 9200, 20, [](int n) { return n % 6; },
       [&world, next = 0](double at) mutable {
         if (at >= next * 0.3) {
@@ -377,26 +390,26 @@
 TEST(AccountLimiter, ALoweredLimitBindsAndARaisedOneIsServed) {
   LimitWorld world(World(6));
   world.Start();
-  Play(world, kBig, 0.95 * 400000, 9200, 5, [](int n) { return n % 6; });
+  OfferEvenly(world, kBig, 0.95 * 400000, 9200, 5, [](int n) { return n % 6; });
   for (int host = 0; host < 6; ++host) {
     world.SetLimits(host, {{kBig, Limit(100000)}});
     world.Run(0.3);
   }
   world.ResetTallies();
-  Play(world, kBig, 400000, 9200, 10, [](int n) { return n % 6; });
+  OfferEvenly(world, kBig, 400000, 9200, 10, [](int n) { return n % 6; });
   CHECK(world.MostIn(kBig, kWindow) <= Allowed(Limit(400000)));
   CHECK(world.Tally(kBig).admitted_cost <= 100000 * 2 + Allowed(Limit(100000)));
   for (int host = 0; host < 6; ++host) {
     world.SetLimits(host, {{kBig, Limit(800000)}});
   }
-  Play(world, kBig, 0.95 * 800000, 9200, 2, [](int n) { return n % 6; });
+  OfferEvenly(world, kBig, 0.95 * 800000, 9200, 2, [](int n) { return n % 6; });
   world.ResetTallies();
-  Play(world, kBig, 0.95 * 800000, 9200, 5, [](int n) { return n % 6; });
+  OfferEvenly(world, kBig, 0.95 * 800000, 9200, 5, [](int n) { return n % 6; });
   CHECK(RefusedShare(world, kBig) < 0.005);
 }
 
-// A debt in tokens would otherwise block an account for hours whose limit
-// counts requests from now on.
+// Guards against a debt in tokens that remains when the limit changes to
+// requests: it would block the account for hours.
 TEST(AccountLimiter, NeitherTokensNorDebtsCrossAChangeOfTheUnit) {
   const Instant start{};
   AccountLimiter limiter(HostId("a"));
@@ -423,8 +436,8 @@
   LONGS_EQUAL(0, sum.Sum(at(13.1)));
 }
 
-// Guards against an account that is refused for long after it got its limit,
-// and against one that may spend twice when its limit is dropped and set again.
+// Guards against an account that is refused for long after its limit was set,
+// and against one that may spend twice when its limit is removed and set again.
 TEST(AccountLimiter, AccountsThatComeAndGoKeepToTheirLimits) {
   LimitWorld world(World(6));
   world.Start();
@@ -436,7 +449,8 @@
       world.SetLimits(host, with);
     }
     world.ResetTallies();
-    Play(world, added, 0.95 * 100000, 9200, 3, [](int n) { return n % 6; });
+    OfferEvenly(world, added, 0.95 * 100000, 9200, 3,
+                [](int n) { return n % 6; });
     CHECK(RefusedShare(world, added) < 0.005);
     for (int host = 0; host < 6; ++host) {
       world.SetLimits(host, Limits());
@@ -446,19 +460,20 @@
   CHECK(world.MostIn(added, kWindow) <= Allowed(Limit(100000)));
 }
 
-// Guards against tokens that are taken for nothing, and against tokens that
-// are given back twice.
+// Guards against tokens that are spent on a request that didn't run, and
+// against tokens that are returned twice.
 TEST(AccountLimiter, WhatWasNotRunIsGivenBack) {
   LimitWorld world(World(3));
   world.Start();
-  Play(world, kBig, 10 * 400000, 9200, 1, [](int) { return 0; });
+  OfferEvenly(world, kBig, 10 * 400000, 9200, 1, [](int) { return 0; });
   world.ResetTallies();
   world.GiveBack(0, kBig, 9200);
   world.Offer(0, kBig, 9200);
   LONGS_EQUAL(1, world.Tally(kBig).admitted);
 }
 
-// Guards against a token that is counted at both ends of a repeated message.
+// Guards against a grant whose tokens are counted at both ends when its message
+// is repeated.
 TEST(AccountLimiter, ARepeatedGrantCountsOnce) {
   AccountLimiter limiter(HostId("a"));
   const Instant now(std::chrono::seconds(10));
@@ -477,7 +492,7 @@
   DOUBLES_EQUAL(held, limiter.Held(now, kBig), 1e-9);
 }
 
-// Guards against refused callers that all come back at once.
+// Guards against refused callers that all retry at the same time.
 TEST(AccountLimiter, RefusedRequestsAreToldDifferentTimes) {
   AccountLimiter limiter(HostId("a"));
   const Instant now(std::chrono::seconds(10));
@@ -499,7 +514,7 @@
 
 namespace {
 
-// Plays random faults beside accounts that send far more than they may.
+// Injects random faults while accounts send far more than their limits allow.
 void PlayFaults(LimitWorld& world, std::mt19937& random, int hosts) {
   const auto any = [&random](int below) {
     return std::uniform_int_distribution<>(0, below - 1)(random);
