--- a/tests/configuration_test.cc
+++ b/tests/configuration_test.cc
@@ -1,4 +1,5 @@
-// Tests of the configuration: records, their place in the store, changes.
+// Tests of the configuration: its records, their storage in the key-value
+// service, and changes.
 
 #include <CppUTest/TestHarness.h>
 
@@ -47,7 +48,7 @@
   };
 }
 
-// Runs a change against a store until it ends.
+// Runs a change against the store until it ends, without faults.
 Result<ConfigurationChange::Applied> RunChange(ConfigurationChange& change,
                                                KeyValueState& store) {
   StoreTransaction next = change.Start();
@@ -69,11 +70,11 @@
 
 using ApplyResult = Result<ConfigurationChange::Applied>;
 
-// What a faulty service does to the next transactions.
+// Whether a transaction loses nothing, its reply, or the request itself.
 enum class Loss { kNone, kReply, kRequest };
 
-// Runs a change while replies and requests get lost as told; between two tries
-// something else may happen at the service.
+// Runs a change whose i-th transaction suffers `losses[i]`. Calls `between`
+// with the index after each transaction, for example to apply another change.
 ApplyResult RunThroughLosses(ConfigurationChange& change,
                              KeyValueState& store,
                              const std::vector<Loss>& losses,
@@ -143,9 +144,9 @@
   LONGS_EQUAL(2, transaction->then.size());
 }
 
-// Two operators change the configuration at the same moment. Whoever comes
-// second must be told what the other changed, and neither change may be lost or
-// half applied.
+// Two operators change the configuration at the same time. The second must get
+// an error that names the first one's change, and neither change may be lost or
+// partly applied.
 TEST(ConfigurationChange, SecondOfTwoOperatorsIsToldWhatTheFirstChanged) {
   KeyValueState store;
   ConfigurationChange late = AddingAccount("late", "tuan");
@@ -164,8 +165,9 @@
   CHECK(!in_force->accounts.contains(AccountId("late")));
 }
 
-// The reply to a change is lost after it took effect. Said to have failed, it
-// would be repeated or believed undone; said to be in conflict, with oneself.
+// The reply to a change is lost after it took effect. Reported as failed, the
+// change would be repeated or assumed absent; reported as a conflict, it would
+// conflict with itself.
 TEST(ConfigurationChange, LostReplyIsKnownByItsToken) {
   KeyValueState store;
   ConfigurationChange change = AddingAccount("a");
@@ -176,8 +178,8 @@
   LONGS_EQUAL(1, ReadAll(store).head.revision);
 }
 
-// As above, but before it can be asked again, a colleague's change has come on
-// top. The first change stands nevertheless.
+// As above, but another operator's change is applied before the retry. The
+// first change is still in force and must be reported as applied.
 TEST(ConfigurationChange, LostReplyIsKnownUnderALaterChange) {
   KeyValueState store;
   ConfigurationChange change = AddingAccount("a");
@@ -193,8 +195,9 @@
   LONGS_EQUAL(2, ReadAll(store).configuration->accounts.size());
 }
 
-// The request itself was lost, and a colleague's change came first: it is
-// certain that nothing was applied, and "unknown" would be less than the truth.
+// The request itself is lost and another operator's change is applied first. It
+// is then certain that nothing was applied, so the result must be a conflict
+// and not "unknown".
 TEST(ConfigurationChange, LostRequestBeforeAnotherChangeIsAConflict) {
   KeyValueState store;
   ConfigurationChange change = AddingAccount("a");
@@ -232,8 +235,8 @@
   LONGS_EQUAL(50, ReadAll(store).head.revision);
 }
 
-// Many operators at once over a service that loses requests and replies.
-// Whatever each is told must be true in the end.
+// Several operators make changes at once through a service that loses requests
+// and replies. Each result must match the final state.
 TEST(ConfigurationChange, NobodyIsToldSomethingFalse) {
   CHECK(rc::check("racing operators", [](uint32_t seed) {
     std::mt19937 random(seed);
@@ -347,8 +350,8 @@
                changes[1].Text().c_str());
 }
 
-// Any configuration must come back from the service as it went in, and what a
-// diff says must be just what makes the one into the other.
+// Any configuration must be read back from the service as it was written: the
+// diff between the two must be empty.
 TEST(ConfigurationRecords, AnyConfigurationSurvivesTheService) {
   CHECK(rc::check("round trip", [](uint32_t seed) {
     std::mt19937 random(seed);
@@ -372,8 +375,8 @@
   }));
 }
 
-// Values in the service that somebody damaged must be refused, never crash a
-// host or be taken in part.
+// Corrupted values in the service must be refused; they must neither crash a
+// host nor be applied in part.
 TEST(ConfigurationRecords, DamagedValuesAreRefused) {
   KeyValueState store;
   ConfigurationChange change({"m", "t"}, Replace(Sample()));
--- a/tests/matrix.cc
+++ b/tests/matrix.cc
@@ -1,12 +1,13 @@
-// The fault matrix: every fault at every step of the protocols for authority,
-// orders, usage and claims; single, in pairs, and with mechanisms off.
+// The fault matrix: injects every fault at every step of the protocols for
+// leases, orders, usage and claims; singly, in pairs, and with safety
+// mechanisms switched off (mutations).
 //
 //   matrix               all single cells and pairs, then the mutations
 //   matrix --singles     only the single cells
-//   matrix --cell N      one single cell by its number, with its violations
+//   matrix --cell N      the single cell number N, with its violations
 //
-// A cell is red when a promise was broken, or when orders and reports didn't go
-// on after the fault had passed.
+// A cell is red when an invariant was violated, or when orders to endpoints or
+// to the platform did not continue after the fault had ended.
 
 #include <algorithm>
 #include <array>
@@ -29,7 +30,7 @@
 
 constexpr unsigned kThreads = 4;
 
-// A mechanism that can be switched off, and what then goes wrong.
+// A safety mechanism and how to switch it off.
 struct Mutation {
   std::string_view name;
   void (*apply)(WorldOptions&);
@@ -74,8 +75,8 @@
   return cells;
 }
 
-// Every single cell followed by every other: the second fault strikes when its
-// step is next come to after the first has struck.
+// Returns every ordered pair of single cells. The second fault is injected when
+// its step is next reached after the first fault.
 std::vector<Cell> PairCells() {
   const std::vector<Cell> singles = SingleCells();
   std::vector<Cell> cells;
@@ -87,8 +88,8 @@
   return cells;
 }
 
-// What each mutation is tried on: the single cells, and those pairs in which
-// two holders in turn are stopped on their way to the platform.
+// Returns the cells that each mutation runs: the single cells, and the pairs in
+// which two successive holders are interrupted while they send to the platform.
 std::vector<Cell> MutationCells() {
   std::vector<Cell> cells = SingleCells();
   for (int fault = 1; fault < kFaults; ++fault) {
@@ -101,13 +102,13 @@
   return cells;
 }
 
-// What a set of cells came to.
+// The results of a set of cells.
 struct Tally {
   int64_t run = 0;
   int64_t passed = 0;
   int64_t red = 0;
-  int64_t stuck = 0;      // of the red ones: no promise broken, but no recovery
-  int64_t unreached = 0;  // a fault never struck, as its step wasn't come to
+  int64_t stuck = 0;      // red without a violation: no recovery
+  int64_t unreached = 0;  // a fault was not injected: its step was not reached
   std::string first_red;
 };
 
@@ -121,7 +122,7 @@
     text += "\n    " + violation;
   }
   if (!report.recovered) {
-    text += "\n    no orders after the faults had passed";
+    text += "\n    no orders after the faults had ended";
   }
   return text;
 }
@@ -160,14 +161,15 @@
 
 void Print(std::string_view name, const Tally& tally) {
   std::printf(
-      "%-8s cells run %6ld  passed %6ld  red %4ld (of these without a broken "
-      "promise %ld)  a fault not reached in %ld\n",
+      "%-8s cells run %6ld  passed %6ld  red %4ld (of these without a "
+      "violation %ld)  a fault not reached in %ld\n",
       std::string(name).c_str(), static_cast<long>(tally.run),
       static_cast<long>(tally.passed), static_cast<long>(tally.red),
       static_cast<long>(tally.stuck), static_cast<long>(tally.unreached));
 }
 
-// Whether each mechanism, switched off, lets a promise be broken.
+// Returns whether switching off each mechanism violates an invariant; otherwise
+// the matrix would not notice that the mechanism is missing.
 bool RunMutations() {
   const std::vector<Cell> cells = MutationCells();
   bool all_found = true;
--- a/tests/policy_bed.h
+++ b/tests/policy_bed.h
@@ -1,5 +1,20 @@
-// What the policy's tests share: a small fleet's configuration, requests, and
-// short names for what a dispatcher answered.
+// Fixtures shared by the tests of the dispatch policy: a builder for the
+// configuration of a small fleet, default requests and load reports, and
+// helpers that look up actions in a dispatcher's result.
+//
+// Index
+//   At                                a point in virtual time
+//   FleetBuilder                      configuration of a small fleet
+//   MakeRequest, MakeReport, MakeResult
+//                                     inputs of a dispatcher
+//   Only, First, RefusalIn, Count     look-ups in a DispatchList
+//   MakeDispatcher                    a dispatcher that is ready for requests
+//
+// Example
+//   auto dispatcher = MakeDispatcher(
+//       FleetBuilder().WithAccount("a").WithEndpoints(2).Build());
+//   const DispatchList sent = dispatcher->OnArrival(At(0), MakeRequest("r"));
+//   CHECK(Only(sent, DispatchKind::kSend));
 
 #pragma once
 
@@ -17,12 +32,13 @@
 inline const ServiceId kFilings("filings");
 inline const DataCentreId kHere("dc1");
 
-// A moment so many seconds after the start.
+// Returns the instant `seconds` after the start of the test.
 inline Instant At(double seconds) {
   return Instant(FromSeconds(100 + seconds));
 }
 
-// Builds the configuration of a small fleet.
+// Builds the configuration of a small fleet in one data centre. It always has
+// the services kModel and kFilings; accounts and endpoints are added.
 class FleetBuilder {
  public:
   FleetBuilder() {
@@ -49,7 +65,7 @@
     return *this;
   }
 
-  // Endpoints e1, e2, ... of the model, each in its own zone.
+  // Adds endpoints e1, e2, ... of kModel, each in its own zone.
   FleetBuilder& WithEndpoints(int count) {
     for (int i = 1; i <= count; ++i) {
       const std::string number = std::to_string(i);
@@ -66,7 +82,8 @@
   Configuration configuration;
 };
 
-// A request of account `a` for the model, due in 30 s.
+// Returns a request with a deadline 30 s after its arrival. It is for kFilings
+// if its class is kOnce, otherwise for kModel.
 inline Request MakeRequest(
     const std::string& id,
     RequestClass request_class = RequestClass::kInteractive,
@@ -83,7 +100,7 @@
           .deadline = At(arrived + 30)};
 }
 
-// A report that says nothing of note.
+// Returns the load report of an idle, healthy endpoint.
 inline LoadReport MakeReport(const std::string& endpoint,
                              uint64_t incarnation = 1,
                              int64_t sequence = 1) {
@@ -99,19 +116,20 @@
   return {.attempt = attempt, .outcome = outcome};
 }
 
-// The only action of a list, which must be of the kind.
+// Returns the only action of the list, or nullptr if there are several or it is
+// of another kind.
 inline const Dispatch* Only(const DispatchList& list, DispatchKind kind) {
   return list.size() == 1 && list.front().kind == kind ? &list.front()
                                                        : nullptr;
 }
 
-// The first action of a kind, or nullptr.
+// Returns the first action of the kind, or nullptr.
 inline const Dispatch* First(const DispatchList& list, DispatchKind kind) {
   const auto found = std::ranges::find(list, kind, &Dispatch::kind);
   return found == list.end() ? nullptr : &*found;
 }
 
-// The kind of the first refusal of a list.
+// Returns the error kind of the first refusal in the list, if there is one.
 inline std::optional<ErrorKind> RefusalIn(const DispatchList& list) {
   const Dispatch* refusal = First(list, DispatchKind::kRefuse);
   if (refusal == nullptr || !refusal->error) {
@@ -124,7 +142,8 @@
   return std::ranges::count(list, kind, &Dispatch::kind);
 }
 
-// A dispatcher of host h1 with a configuration and a report of each endpoint.
+// Returns a dispatcher that has received the configuration and one load report
+// of each endpoint.
 inline std::unique_ptr<HickorystandDispatcher> MakeDispatcher(
     const ConfigurationPtr& configuration,
     const PolicyOptions& policy = {},
--- a/tests/policy_bench_test.cc
+++ b/tests/policy_bench_test.cc
@@ -1,5 +1,5 @@
-// A short run of the policy bench: the whole policy against fake engines in
-// virtual time. It checks what must hold in any run, not the figures.
+// Short runs of the policy bench: the whole policy against simulated engines in
+// virtual time. Checks the invariants that hold in any run, not the figures.
 
 #include <CppUTest/TestHarness.h>
 #include <unistd.h>
@@ -33,7 +33,8 @@
 
 TEST_GROUP(PolicyBench){};
 
-// Each strategy through a lost zone, a cut and lagging reports at once.
+// Runs each strategy with a lost zone, a network partition and lagging load
+// reports at the same time; a filing must never run twice.
 TEST(PolicyBench, FilingsRunOnceInEveryStrategy) {
   Scenario scenario = AllScenarios().front();
   scenario.seconds = kSeconds;
@@ -47,9 +48,9 @@
   }
 }
 
-// Twice to three times what the fleet can carry. Goodput must stay at what the
-// peak was: without refusals and deadlines the fleet works on answers that
-// nobody waits for any more.
+// Offers two to three times the fleet's capacity. Goodput must stay at its peak
+// level: without refusals and deadlines the fleet would work on requests whose
+// callers have already given up waiting.
 TEST(PolicyBench, OverloadKeepsGoodputAndBatchWork) {
   Scenario scenario = AllScenarios().front();
   scenario.seconds = kSeconds;
--- a/tests/policy_parts_test.cc
+++ b/tests/policy_parts_test.cc
@@ -1,5 +1,5 @@
-// Failure stories of the parts: admission, router, prefix view, suspects and
-// placement.
+// Tests of the parts of the dispatch policy: admission, router, prefix cache,
+// suspects and placement.
 
 #include <CppUTest/TestHarness.h>
 
@@ -23,9 +23,9 @@
       .Build();
 }
 
-// Serves `rounds` requests from a queue that always holds both accounts'
-// work, `flood` times as much of the large one's; returns how many of them
-// were the small account's.
+// Serves `rounds` requests from a queue to which each round adds one request of
+// the small account and `flood` of the large one. Returns how many of the
+// served requests belonged to the small account.
 int64_t ServeContended(const AdmissionOptions& options, int rounds, int flood) {
   Admission admission(options);
   admission.OnConfiguration(*TwoAccounts());
@@ -55,7 +55,7 @@
       .endpoint;
 }
 
-// The rates of the bench's engines.
+// The rates of the policy bench's engines.
 RoleRatesTable Rates() {
   return {{EndpointRole::kMixed, {6000, 533, 0.5}},
           {EndpointRole::kPrefill, {10000, 400, 0.7}},
@@ -75,7 +75,9 @@
   return states;
 }
 
-// Feeds a planner with a steady mix for so many seconds.
+// Feeds the planner a steady mix for `seconds` from `from`: per second,
+// `prompts` prompt-heavy and `answers` answer-heavy requests. Returns the end
+// time.
 double Feed(Planner& planner,
             double from,
             double seconds,
@@ -98,15 +100,15 @@
 
 TEST_GROUP(Admission){};
 
-// One account sends nine times what the other sends. First come, first served
-// gives the small one a tenth, and its members walk away.
+// One account sends nine times as much as the other. First come, first served
+// would give the small account only a tenth of the capacity.
 TEST(Admission, FloodDoesNotStarveTheSmallAccount) {
   LONGS_EQUAL(50, ServeContended({.idle_credit_tokens = 0}, 100, 9));
   CHECK(ServeContended({.fair = false}, 100, 9) <= 11);
 }
 
-// An account is idle all night. With its credit saved up, it would then shut
-// everybody else out for as long as it likes.
+// An account is idle for hours. If its unused share accumulated without bound,
+// it could then starve all other accounts for a long time.
 TEST(Admission, IdleAccountSavesUpLittle) {
   Admission admission({.idle_credit_tokens = 3000});
   admission.OnConfiguration(*TwoAccounts());
@@ -134,12 +136,12 @@
   for (int i = 0; i < 20; ++i) {
     small += serve() == AccountId("small");
   }
-  // Three for the credit, then every other one.
+  // Three requests use up the credit, then the accounts alternate.
   CHECK(small >= 10 && small <= 13);
 }
 
-// The other entry hosts have served an account a lot already. A host that only
-// counts for itself would give it a full share on top.
+// Other hosts have already served an account a lot. A host that counts only its
+// own work would give the account a full share on top of that.
 TEST(Admission, CountsWhatPeersHaveServed) {
   Admission admission({.idle_credit_tokens = 0});
   admission.OnConfiguration(*TwoAccounts());
@@ -149,16 +151,16 @@
                         .sequence = sequence,
                         .served = {{AccountId("large"), cost, 0}}});
   };
-  tell(1, 500000);  // before this host knew of the peer: no debt
+  tell(1, 500000);  // served before the peer's first digest: not charged
   DOUBLES_EQUAL(0, admission.Counter(AccountId("large")), 0.1);
   tell(2, 510000);
   DOUBLES_EQUAL(10000, admission.Counter(AccountId("large")), 0.1);
-  tell(2, 900000);  // delivered twice
+  tell(2, 900000);  // repeated sequence number: ignored
   DOUBLES_EQUAL(10000, admission.Counter(AccountId("large")), 0.1);
 }
 
-// Leaflets wait in the batch queue while people keep asking. Without aging
-// they wait for ever, and families have nothing to read in the morning.
+// Batch requests wait while interactive requests keep arriving. Without aging
+// the batch queue starves.
 TEST(Admission, BatchWorkArrives) {
   for (const bool aging : {true, false}) {
     Admission admission({.age_batch = aging});
@@ -183,9 +185,9 @@
   }
 }
 
-// The queue is longer than callers will wait. Without refusals everybody waits
-// in vain and comes back at the same moment. Here they hear at once, with
-// different times to come back.
+// The queue is longer than callers will wait. Without refusals all of them time
+// out and retry at the same moment. Late requests must be refused at once, with
+// spread retry-after times.
 TEST(Admission, RefusesAtOnceWhatWouldBeLate) {
   auto dispatcher =
       MakeDispatcher(FleetBuilder().WithAccount("a").WithEndpoints(1).Build());
@@ -215,8 +217,9 @@
 
 TEST_GROUP(Router){};
 
-// Eight hosts hear the same stale report: one endpoint is a little less loaded
-// than the others. Hosts that take the least all send there, and it drowns.
+// Eight hosts receive the same stale report, in which one endpoint is slightly
+// less loaded than the others. If all choose the least loaded one, they
+// overload it (herding).
 TEST(Router, HostsWithTheSameStaleViewDoNotHerd) {
   const ConfigurationPtr configuration =
       FleetBuilder().WithAccount("a").WithEndpoints(10).Build();
@@ -240,8 +243,8 @@
   }
 }
 
-// An endpoint takes requests and answers each of them late. Its reports look
-// fine, so only the outcomes tell.
+// An endpoint accepts requests but answers all of them late, while its load
+// reports look healthy. Only the measured outcomes reveal it.
 TEST(Router, SlowEndpointLosesItsWork) {
   const ConfigurationPtr configuration =
       FleetBuilder().WithAccount("a").WithEndpoints(2).Build();
@@ -268,8 +271,8 @@
   }
 }
 
-// Three attempts in a row break at an endpoint. It gets nothing for a while,
-// then one request at a time until one is answered.
+// After three consecutive failures an endpoint gets no requests for a while,
+// then one probe request at a time until one is answered.
 TEST(Router, FailingEndpointIsProbed) {
   const ConfigurationPtr configuration =
       FleetBuilder().WithAccount("a").WithEndpoints(1).Build();
@@ -288,10 +291,9 @@
   CHECK(after && !after->probe);
 }
 
-// A filing that goes to an endpoint on trial may end with an unknown outcome,
-// so it goes to one that has proved itself. Where there is none it is the
-// probe, alone: a service that gets nothing but filings would stay away for
-// good.
+// A filing sent as the probe of a failing endpoint may end with an unknown
+// outcome, so it goes to a healthy endpoint. If there is none, a single filing
+// is the probe; otherwise a service that only gets filings would never recover.
 TEST(Router, FilingIsTheProbeOnlyWhereNoOtherEndpointIs) {
   Request once = MakeRequest("once");
   once.request_class = RequestClass::kOnce;
@@ -315,8 +317,9 @@
   }
 }
 
-// A request failed at one of two endpoints, and goes to the other. With only
-// one it goes there again, or one broken connection would end the service.
+// A request that failed at one of two endpoints is retried at the other. If
+// there is only one endpoint it is retried there; otherwise one broken
+// connection would make the service unavailable.
 TEST(Router, WhereARequestFailedItGoesAgainOnlyIfThereIsNoOther) {
   const Request request = MakeRequest("r");
   const EndpointId failed("e1");
@@ -335,8 +338,8 @@
 
 TEST_GROUP(PrefixCache){};
 
-// An event is lost. What is believed of the cache counts half until the next
-// snapshot, or requests would chase prefixes that are gone.
+// A cache event is lost. Until the next snapshot the view counts only half;
+// otherwise requests would be routed to prefixes that were evicted.
 TEST(PrefixCache, GapMakesTheViewUnsure) {
   PrefixCache cache;
   cache.Apply({.incarnation = 1, .sequence = 1, .added = {1, 2, 3, 4}});
@@ -360,8 +363,8 @@
 
 TEST_GROUP(Suspects){};
 
-// A zone is reclaimed and takes two endpoints at once. Their requests have
-// nothing to do with it, and must not be refused after the next crash.
+// A zone is reclaimed and two of its endpoints stop at once. The requests on
+// them are not the cause and must not be refused after the next crash.
 TEST(Suspects, LostZoneAccusesNobody) {
   Suspects suspects;
   suspects.OnCrash(At(0), ZoneId("z"), {1, 2, 3});
@@ -372,8 +375,8 @@
   }
 }
 
-// The caller sends the killer to another host each time. Each host has seen
-// one crash; together they know.
+// A caller sends a request that crashes endpoints to a different host each
+// time. Each host has seen one crash only; the shared counts identify it.
 TEST(Suspects, CrashesAddUpOverHosts) {
   Suspects suspects;
   suspects.OnCrash(At(0), ZoneId("z1"), {1, 2});
@@ -386,8 +389,8 @@
 
 TEST_GROUP(Placement){};
 
-// A new term begins, and the work leans to answers for good. Engines that lean
-// to prompts are turned, one in each data centre at a time.
+// The mix of requests shifts to long answers permanently. Prefill engines must
+// change to decode, at most one per data centre at a time.
 TEST(Placement, LastingMixMovesRoles) {
   Planner planner(kModel, Rates());
   Feed(planner, 0, 600, 1, 14);
@@ -399,8 +402,8 @@
   }
 }
 
-// The mix swings every minute, faster than an engine drains. Chasing it takes
-// engines away again and again; the planner settles on a split for all mixes.
+// The mix swings every minute, faster than an engine drains. Following it would
+// keep taking engines out of service; the planner must settle on one split.
 TEST(Placement, SwingsDoNotMoveRoles) {
   Planner planner(kModel, Rates());
   std::vector<EndpointState> endpoints = Engines(9, EndpointRole::kPrefill);
@@ -429,8 +432,8 @@
   CHECK(changes <= 6);
 }
 
-// Work falls at night. Endpoints are given back, but never so far that the loss
-// of one cheap zone would take a data centre below its floor.
+// Load falls at night. Endpoints are released, but each data centre keeps
+// enough that the loss of one cheap zone leaves it at its minimum.
 TEST(Placement, GivesBackDownToWhatOutlivesAZone) {
   Planner planner(kModel, Rates());
   std::vector<EndpointState> endpoints = Engines(18, EndpointRole::kMixed);
@@ -460,8 +463,8 @@
   }
 }
 
-// Two coordinators' worth of orders would ask the weight store for models
-// faster than it can deliver, and every load would be late.
+// Twice the permitted rate of model loads, as from two coordinators, would
+// exceed the throughput of the weight store and delay every load.
 TEST(Placement, LoadsKeepToTheWeightStoresRate) {
   Planner planner(kModel, Rates());
   CHECK(planner.TryStartModelLoad(At(0)));
--- a/tests/policy_properties_test.cc
+++ b/tests/policy_properties_test.cc
@@ -1,6 +1,6 @@
-// Random event sequences against the dispatcher. The asserts inside it check
-// that no attempt goes to an endpoint known to be leaving, that a
-// non-idempotent request is sent once, and that "not run" is true; the
+// Property tests that run random event sequences against the dispatcher. Its
+// own asserts check that no attempt goes to an endpoint known to be leaving,
+// that a non-idempotent request is sent once, and that "not run" is true; the
 // properties here check what a caller sees.
 
 #include <rapidcheck.h>
@@ -21,7 +21,8 @@
 constexpr int kSteps = 400;
 constexpr int kEndpoints = 5;
 
-// Plays gateway, endpoints, peers and callers at random, and keeps the books.
+// Simulates gateway, endpoints, peers and callers with random events, and
+// records which requests are open and how often filings may have run.
 class RandomWorld {
  public:
   explicit RandomWorld(uint64_t seed)
@@ -44,9 +45,10 @@
     this->Settle();
   }
 
-  // A request may end once only, and must have been started before.
+  // False once an action names a request that is not open, or cancels an
+  // attempt that is not running.
   bool consistent = true;
-  std::map<RequestId, int64_t> once_sends;  // that may have left
+  std::map<RequestId, int64_t> once_sends;  // whose bytes may have been sent
   std::set<RequestId> open;
 
  private:
@@ -178,7 +180,7 @@
     }
   }
 
-  // The faults end, and every request must end with them.
+  // Ends all faults; after this every request must have ended.
   void Settle() {
     for (int round = 0; round < 600; ++round) {
       this->now += 0.5;
--- a/tests/policy_test.cc
+++ b/tests/policy_test.cc
@@ -1,4 +1,6 @@
-// Failure stories of the policy: what users would see without each rule.
+// Tests of the dispatch policy. Each test states the failure that its rule
+// prevents. A filing is a request that must not be repeated
+// (RequestClass::kOnce).
 
 #include <CppUTest/TestHarness.h>
 
@@ -14,7 +16,7 @@
 
 namespace {
 
-// Sends a filing up to its one attempt and returns it.
+// Submits a filing, grants its claim and returns its only attempt.
 AttemptId SendFiling(Dispatcher& dispatcher) {
   const Request filing = MakeRequest("f", RequestClass::kOnce);
   CHECK(Only(dispatcher.OnArrival(At(0), filing), DispatchKind::kClaim));
@@ -48,9 +50,8 @@
   LONGS_EQUAL(0, dispatcher->Running());
 }
 
-// A filing's connection breaks after its bytes have left. The endpoint may
-// have filed it. Sent again, it is filed twice, and the family gets two
-// wordings and pays twice.
+// A filing's connection breaks after its bytes were sent. The endpoint may have
+// filed it; a retry could file it twice and charge the user twice.
 TEST(Policy, FilingIsNeverSentAgainOnceBytesMayHaveLeft) {
   for (const Outcome outcome : {Outcome::kBroken, Outcome::kCrashed,
                                 Outcome::kSilent, Outcome::kWrongAnswer}) {
@@ -68,8 +69,8 @@
   }
 }
 
-// A filing's first endpoint refuses the connection, so nothing left this host.
-// Giving up here loses a filing that another endpoint would have taken.
+// A filing's first endpoint refuses the connection, so no byte was sent.
+// Failing the filing would lose work that another endpoint can accept.
 TEST(Policy, FilingMovesOnWhenNothingLeft) {
   for (const Outcome outcome : {Outcome::kNotSent, Outcome::kRefused}) {
     auto dispatcher = MakeDispatcher(FleetBuilder()
@@ -85,8 +86,8 @@
   }
 }
 
-// A filing is sent to two entry hosts. The second one's claim finds the first
-// one's, so it must not be sent, nor be called "not run".
+// A caller sends a filing to two hosts. The second host's claim finds the
+// first's, so it must neither send the filing nor answer "not run".
 TEST(Policy, FilingClaimedElsewhereIsADuplicate) {
   auto dispatcher = MakeDispatcher(
       FleetBuilder().WithAccount("a").WithEndpoint("f1", kFilings).Build());
@@ -97,8 +98,8 @@
   CHECK(ErrorKind::kDuplicate == RefusalOf(out));
 }
 
-// Cheap endpoints vanish without notice, and with them a filing whose outcome
-// nobody could then tell.
+// Cheap endpoints are reclaimed without notice. A filing that runs on one would
+// end with an unknown outcome.
 TEST(Policy, FilingsStayOffCheapEndpoints) {
   auto dispatcher = MakeDispatcher(FleetBuilder()
                                        .WithAccount("a")
@@ -111,8 +112,8 @@
         RefusalOf(dispatcher->OnTick(At(31))));
 }
 
-// An operator drains an endpoint. A peer hears of it first. Work that this
-// host still sends there is cut off when the endpoint stops.
+// An operator drains an endpoint and a peer learns of it first. Requests that
+// this host still sends there are interrupted when the endpoint stops.
 TEST(Policy, NewsOfAPeerStopsWorkForALeavingEndpoint) {
   auto dispatcher =
       MakeDispatcher(FleetBuilder().WithAccount("a").WithEndpoints(2).Build());
@@ -129,8 +130,9 @@
   }
 }
 
-// A late report of an endpoint's last life says that it is leaving. Taking it
-// for the present life would leave a fresh endpoint without work for good.
+// A delayed report of an endpoint's previous incarnation says that it is
+// leaving. Applied to the current incarnation, it would keep a restarted
+// endpoint without work permanently.
 TEST(Policy, LateNewsOfAnOldLifeDoesNotCondemnTheNewOne) {
   auto dispatcher =
       MakeDispatcher(FleetBuilder().WithAccount("a").WithEndpoints(1).Build());
@@ -146,8 +148,8 @@
              DispatchKind::kSend));
 }
 
-// An engine dies in the middle of an answer. The reader sees half a leaflet,
-// unless the rest is fetched from another engine from where it stopped.
+// An engine crashes in the middle of a stream. The caller gets a truncated
+// answer unless another engine resumes it at the first missing token.
 TEST(Policy, BrokenStreamIsResumedElsewhere) {
   auto dispatcher =
       MakeDispatcher(FleetBuilder().WithAccount("a").WithEndpoints(2).Build());
@@ -161,9 +163,9 @@
   CHECK(out.front().endpoint != sent.front().endpoint);
 }
 
-// One request crashes each engine that runs it, and its caller sends it again
-// and again. Unchecked, it takes the whole fleet. It may cost two engines, and
-// the requests that ran beside it must be answered.
+// One request crashes every engine that runs it, and its caller keeps retrying.
+// Without a limit it takes down the whole fleet. It may crash at most two
+// engines, and the requests that ran beside it must still be answered.
 TEST(Policy, RequestThatCrashesEndpointsCostsTwo) {
   auto dispatcher =
       MakeDispatcher(FleetBuilder().WithAccount("a").WithEndpoints(6).Build());
@@ -218,8 +220,8 @@
   LONGS_EQUAL(12, innocents.size());
 }
 
-// Every endpoint fails every attempt. If each failure is tried again without
-// bound, the fleet gets several times the load that broke it.
+// Every endpoint fails every attempt. Unbounded retries would multiply the load
+// that caused the failures.
 TEST(Policy, RetryBudgetCapsARetryStorm) {
   auto dispatcher =
       MakeDispatcher(FleetBuilder().WithAccount("a").WithEndpoints(8).Build());
--- a/tests/promise_host.cc
+++ b/tests/promise_host.cc
@@ -37,7 +37,7 @@
   return made;
 }
 
-// Which step a transaction is, told by what it would write.
+// Returns the step of a transaction, derived from the keys that it writes.
 Step StepOf(const StoreTransaction& transaction) {
   const auto puts = [&transaction](std::string_view prefix) {
     return std::ranges::any_of(
@@ -109,7 +109,7 @@
 
 void ModelHost::Wake() {
   if (this->world.Now() < this->paused_until) {
-    return;  // paused again meanwhile, for longer
+    return;  // a later, longer pause is still in progress
   }
   this->paused = false;
   for (auto* queue : {&this->outbox, &this->inbox}) {
@@ -145,7 +145,7 @@
   this->Do(claimed);
   this->CheckBelief();
   if (this->draining && this->coordinator.Released() && this->pending.empty()) {
-    this->Exchange();  // the last copy of its usage
+    this->Exchange();  // sends the final usage copy
     this->alive = false;
   }
 }
@@ -190,7 +190,8 @@
   });
 }
 
-// Every host wants something else, so that any two holders would conflict.
+// Every host proposes a different argument, so that orders of two concurrent
+// holders conflict.
 void ModelHost::Propose() {
   if (!this->alive || this->paused) {
     return;
@@ -223,18 +224,18 @@
   });
 }
 
-// The promise behind all others: a host that believes it may act holds the
-// lease in the store at that very moment.
+// The invariant on which all others rest: whenever MayAct() is true, the host
+// holds the lease in the store.
 void ModelHost::CheckBelief() {
   const int64_t fencing = this->coordinator.Authority().Fencing();
   if (this->coordinator.MayAct(this->Clock(), fencing) &&
       !this->world.store.LeaseStands(this->world.Now(), LeaseKey(kDataCentre),
                                      fencing)) {
-    this->world.Violation("a host believes in a lease that has ended");
+    this->world.Violation("a host may act under a lease that has ended");
   }
 }
 
-// Tells the coordinator something and carries out what it wants then.
+// Passes an event to the coordinator and runs the resulting actions.
 void ModelHost::Tell(const std::function<void(CoordinatorActions&)>& event) {
   CoordinatorActions wanted;
   event(wanted);
@@ -338,7 +339,8 @@
       std::ranges::find(this->world.endpoints, action.order.endpoint,
                         [](const auto& endpoint) { return endpoint->Id(); });
   ModelEndpoint* endpoint = found->get();
-  // The connection was open before the check; it ends with the process there.
+  // The connection is opened before the lease check, and is closed if the
+  // endpoint restarts.
   const uint64_t connected_to = endpoint->Incarnation();
   this->SendGuarded<OrderReply>(
       Step::kOrderSend, Step::kOrderReply, action.fencing,
--- a/tests/promise_host.h
+++ b/tests/promise_host.h
@@ -1,5 +1,10 @@
-// One host of a World: the real decision classes, a clock of its own, and the
-// little that a daemon does around them.
+// One simulated host of a World: the real decision classes, its own clock, and
+// a minimal version of the daemon's I/O around them.
+//
+// Index
+//   FilingAnswer   how a host answers a filing
+//   HostClock      speed and offset of a host's clock
+//   ModelHost      the host
 
 #pragma once
 
@@ -15,15 +20,17 @@
 
 namespace hickorystand {
 
-// How a host answers a filing.
+// How a host answers a filing (a call that must not be repeated).
 enum class FilingAnswer { kDone, kNotRun, kTaken, kUnknown };
 
-// How a host's clock runs.
+// A host's clock: true time multiplied by `speed`, plus `offset`.
 struct HostClock {
   double speed = 1;
   Duration offset{};
 };
 
+// A simulated host. World calls its public functions; outgoing calls go through
+// the network and faults of the World.
 class ModelHost {
  public:
   ModelHost(World& world,
@@ -31,9 +38,9 @@
             uint64_t incarnation,
             HostClock clock);
 
-  // What the driver does to it.
+  // Events that World injects.
   void Tick();
-  void Exchange();  // tells the others its usage and that it lives
+  void Exchange();  // sends usage and a heartbeat to the peers
   void Kill();
   void Pause(Duration length);
   void StartDrain();
@@ -54,9 +61,9 @@
 
  private:
   Instant Clock() const;
-  // Runs when the host is awake; never if it died meanwhile.
+  // Runs `event` when the process is not paused; drops it if the host died.
   void Deliver(std::function<void()> event);
-  // Bytes that were handed over leave when the process runs; never if it died.
+  // Sends bytes when the process is not paused; drops them if the host died.
   void Leave(std::function<void()> bytes);
   void Wake();
 
@@ -82,7 +89,7 @@
                  const Reply& refused,
                  const Reply& unknown,
                  const std::function<void(Reply)>& done);
-  // Sends something that needs the lease, past the check.
+  // Checks the lease and sends a message that requires it.
   template <typename Reply>
   void SendGuarded(Step send,
                    Step answer,
--- a/tests/promise_world.cc
+++ b/tests/promise_world.cc
@@ -24,7 +24,7 @@
 constexpr size_t kMaxValue = 1'000'000;
 constexpr int64_t kFilingTries = 6;
 
-// Clocks that gain and lose, and start anywhere.
+// Clocks that run slow or fast and start at different offsets.
 constexpr std::array kClocks = {
     HostClock{.speed = 0.95, .offset = seconds(1000)},
     HostClock{.speed = 0.97, .offset = seconds(50)},
@@ -207,7 +207,7 @@
     this->world.Violation("an endpoint received conflicting orders");
   }
   if (fencing < this->highest_effect) {
-    this->world.Violation("an order of a deposed holder had effect");
+    this->world.Violation("an order of a former holder took effect");
   }
   this->world.CheckStands(order);
   this->highest_effect = std::max(this->highest_effect, fencing);
@@ -218,8 +218,8 @@
   return OrderReply::kRunning;
 }
 
-// A message that left its host when another one had been heard from already
-// shows two that both believed to be in charge.
+// If a message with a lower fencing number was sent after one with a higher
+// number had been received, two hosts acted as lease holder at the same time.
 void ModelPlatform::CheckSender(Heard& heard,
                                 Instant now,
                                 Instant sent,
@@ -227,7 +227,7 @@
                                 const std::string& what) {
   if (fencing < heard.fencing && sent > heard.since) {
     this->world.Violation("the platform received " + what +
-                          " from two that believe to be in charge");
+                          " from two hosts that both act as holder");
   }
   if (fencing > heard.fencing) {
     heard = {.fencing = fencing, .since = now};
@@ -252,7 +252,8 @@
   const auto [known, fresh] =
       this->windows.emplace(report.window, report.figures);
   if (!fresh && known->second != report.figures) {
-    this->world.Violation("a usage window came twice with other figures");
+    this->world.Violation(
+        "a usage window was reported twice with different figures");
   }
 }
 
@@ -389,9 +390,9 @@
   }
 }
 
-// Whatever takes effect must stand in the record at that moment, so that the
-// present holder, whoever it is, knows of it and reckons with it. A copy that a
-// deposed holder sent in time may then arrive late and do no harm.
+// An order that takes effect must be in the stored record at that moment, so
+// that the current holder takes it into account. A copy that a former holder
+// sent in time can then arrive late without harm.
 void World::CheckStands(const Order& order) {
   const auto record =
       this->store.Records().find(OrderRecordKey(DataCentreId("dc")));
@@ -399,7 +400,7 @@
       record == this->store.Records().end() ? "" : record->second.value);
   if (!content || std::ranges::find(content->orders, order.id, &Order::id) ==
                       content->orders.end()) {
-    this->Violation("an order had effect that no record stands for");
+    this->Violation("an order took effect without a stored record");
   }
 }
 
@@ -422,8 +423,8 @@
              : this->Between(Duration(200), milliseconds(3));
 }
 
-// Whether a fault strikes at this step. Those that touch more than the step's
-// own message are applied here; the caller heeds the rest.
+// Returns the fault to inject at this step, or kNone. Faults that affect more
+// than the step's own message are applied here; the caller applies the others.
 Fault World::Strike(Step step, ModelHost& host) {
   if (this->injections.empty() || this->now < kFirstFault ||
       this->injections.front().step != step || !host.Alive()) {
@@ -433,7 +434,7 @@
   this->injections.erase(this->injections.begin());
   ++this->report.struck;
   this->Apply(fault, host);
-  // Sends that need the lease pause by themselves, behind their check.
+  // Guarded sends apply this pause themselves, after their lease check.
   if (fault == Fault::kPauseInside && !kGuardedSteps.contains(step)) {
     this->After({}, [&host] { host.Pause(kFaultLength); });
   }
@@ -498,7 +499,7 @@
       *this, id, incarnation, kClocks[this->hosts.size() % kClocks.size()]));
 }
 
-// The platform's list, which lags.
+// Delivers the platform's list of hosts after its propagation delay.
 void World::PublishHosts() {
   std::vector<HostListing> listed;
   for (const auto& host : this->hosts) {
@@ -519,7 +520,7 @@
   }
 }
 
-// Callers file through any host, some through two at once.
+// Callers send a filing through any host, some through two at once.
 void World::SendFilings() {
   if (this->quiet) {
     return;
@@ -531,8 +532,8 @@
   }
 }
 
-// A stubborn caller: whatever it hears, or if it hears nothing, it sends the
-// same filing again through another host.
+// A caller that retries: unless its filing is done it sends it again through
+// another host, also without an answer, and sometimes even when it is done.
 void World::File(const std::string& key, int64_t tries) {
   if (tries >= kFilingTries) {
     return;
--- a/tests/promise_world.h
+++ b/tests/promise_world.h
@@ -1,18 +1,25 @@
-// A small test driver for the promises about authority, orders, usage and
-// claims: a few hosts that run the real decision classes, and in-memory models
-// of what they talk to, in virtual time.
+// Simulation of the protocols for leases, orders, usage reports and claims: a
+// few hosts run the real decision classes against in-memory models of the
+// services that they call, in virtual time and with injected faults.
 //
-// The models log what had effect and check the promises there, on the
-// receiving side. Hosts have clocks of their own that run at different speeds.
+// The models record what took effect and check the invariants on the receiving
+// side. Each host has its own clock, which runs at its own speed.
 //
 // Index
-//   Step, Fault, Injection   what goes wrong, and where
+//   Step, Fault, Injection   which fault is injected at which protocol step
 //   ModelStore               the key-value service
 //   ModelEndpoint            an endpoint with or without fencing
-//   ModelPlatform            endpoint orders and usage reports
-//   ModelFilings             a plain service whose calls may not be repeated
-//   TimedCall                what happens at a time
+//   ModelPlatform            receiver of endpoint orders and usage reports
+//   ModelFilings             a plain service whose calls must not be repeated
+//   WorldReport              the result of a run
+//   TimedCall                an event of the simulation
 //   World                    the hosts, the network and the clock
+//
+// Example
+//   World world(MatrixOptions(),
+//               {{.step = Step::kOrderSend, .fault = Fault::kPause}});
+//   const WorldReport report = world.Run();
+//   CHECK(report.violations.empty() && report.recovered);
 
 #pragma once
 
@@ -35,7 +42,7 @@
 
 namespace hickorystand {
 
-// Where in a protocol a fault strikes.
+// The protocol steps at which a fault can be injected.
 enum class Step {
   kLeaseGrant,
   kLeaseCreate,
@@ -58,29 +65,29 @@
 };
 constexpr int kSteps = static_cast<int>(Step::kDrain) + 1;
 
-// What strikes.
+// The faults. "The host" is the one that reached the step.
 enum class Fault {
   kNone,
   kKill,           // the host dies before the step and is replaced
-  kKillAfter,      // it dies when the step's message has left
-  kRestart,        // it dies; the same host id comes back
-  kPauseShort,     // it stands still for less than a lease
-  kPause,          // it stands still until its lease has lapsed
-  kPauseInside,    // the same between the check and the hand-over of bytes
-  kCutStore,       // it can't reach the store
-  kCutPeers,       // it hears no host and no host hears it
-  kStoreSlow,      // calls take effect after they were given up
-  kStoreDown,      // calls are refused
-  kReplyLost,      // the step takes effect, its reply never comes
-  kOperatorRace,   // every host is asked for a conflicting order now
-  kEndpointCrash,  // all endpoints restart, in the middle of what they do
+  kKillAfter,      // the host dies after it sent the step's message
+  kRestart,        // the host dies and restarts under the same id
+  kPauseShort,     // the process pauses for less than the lease length
+  kPause,          // the process pauses until its lease has expired
+  kPauseInside,    // kPause between the lease check and the send
+  kCutStore,       // the host can't reach the store
+  kCutPeers,       // no messages between the host and its peers
+  kStoreSlow,      // store calls may take effect after their timeout
+  kStoreDown,      // store calls are refused
+  kReplyLost,      // the step takes effect, but its reply is lost
+  kOperatorRace,   // every host proposes a conflicting order now
+  kEndpointCrash,  // all endpoints restart and lose what they are running
 };
 constexpr int kFaults = static_cast<int>(Fault::kEndpointCrash) + 1;
 
 std::string_view StepName(Step step);
 std::string_view FaultName(Fault fault);
 
-// A fault that strikes when a host comes to a step for the first time.
+// A fault that is injected once, when a host next reaches the step.
 struct Injection {
   Step step = Step::kOrderSend;
   Fault fault = Fault::kNone;
@@ -88,27 +95,29 @@
   bool operator==(const Injection&) const = default;
 };
 
-// How a world is set. The switches of the two options are for mutation checks.
+// The settings of a simulation. The mutation checks turn off single mechanisms
+// through the switches in `coordinator` and `claims`.
 struct WorldOptions {
   uint64_t seed = 1;
   CoordinatorOptions coordinator;
   ClaimOptions claims;
-  double loss = 0;         // share of messages lost
-  double delay = 0;        // share of messages delayed by seconds
+  double loss = 0;         // fraction of messages lost
+  double delay = 0;        // fraction of messages delayed by up to 15 s
   double fault_every = 0;  // seconds between random faults; 0: none
   Duration length = std::chrono::seconds(70);
-  Duration drain_at = std::chrono::seconds(30);  // a planned stop
+  Duration drain_at = std::chrono::seconds(30);  // planned stop
 };
 
-// The settings of the matrix: a little loss and delay, and shorter waits than
-// in service, which keep runs short.
+// Returns the settings of the fault matrix: little loss and delay, and shorter
+// timeouts than in production to keep the runs short.
 WorldOptions MatrixOptions();
 
-// The settings of a randomised run of six virtual minutes: the same, and a
-// random fault armed at a random step every few seconds.
+// Returns the settings of a randomised run of six virtual minutes: those of the
+// matrix, and a random fault injected at a random step every few seconds.
 WorldOptions SoakOptions(uint64_t seed);
 
-// The key-value service.
+// In-memory model of the key-value service: transactions, leases and expiry.
+// The caller passes the current true time.
 class ModelStore {
  public:
   StoreReply Transact(Instant now, const StoreTransaction& transaction);
@@ -116,7 +125,8 @@
   Result<Duration> Renew(Instant now, int64_t lease);
   void Revoke(Instant now, int64_t lease);
 
-  // Whether the record with this fencing number stands.
+  // Whether the record exists, with this fencing number, and its lease has not
+  // expired.
   bool LeaseStands(Instant now, const std::string& key, int64_t fencing);
 
   const std::map<std::string, StoreRecord>& Records() const {
@@ -126,7 +136,7 @@
   size_t LargestValue() const { return this->largest; }
 
   Instant down_until{};  // calls are refused
-  Instant slow_until{};  // calls take effect late
+  Instant slow_until{};  // calls are delayed
 
  private:
   struct Granted {
@@ -147,8 +157,8 @@
 
 class World;
 
-// An endpoint: it knows the ids of its orders since it started, and refuses
-// an older fencing number if it fences.
+// Model of an endpoint. It remembers the ids of the orders received since it
+// started, and refuses a lower fencing number if it `fences`.
 class ModelEndpoint {
  public:
   ModelEndpoint(World& world, EndpointId id, bool fences)
@@ -177,10 +187,11 @@
   OrderId running;
   Instant busy_until{};
   int64_t effects = 0;
-  int64_t highest_effect = 0;  // of the checker, so kept over restarts
+  int64_t highest_effect = 0;  // for the check only, so kept over restarts
 };
 
-// The platform. It checks no fencing number; tokens make repeats idempotent.
+// Model of the platform. It does not check fencing numbers; tokens make repeats
+// idempotent.
 class ModelPlatform {
  public:
   explicit ModelPlatform(World& world) : world(world) {}
@@ -196,7 +207,7 @@
   int64_t Reported() const;  // requests in all windows
 
  private:
-  // The highest fencing number heard from, and when it was heard first.
+  // The highest fencing number received, and when it was first received.
   struct Heard {
     int64_t fencing = 0;
     Instant since{};
@@ -214,7 +225,8 @@
   std::map<int64_t, AccountUsage> windows;
 };
 
-// A service that files what it is sent, however often.
+// Model of a plain service that executes every call that it receives, also
+// repeated ones.
 class ModelFilings {
  public:
   explicit ModelFilings(World& world) : world(world) {}
@@ -231,11 +243,11 @@
 
 class ModelHost;
 
-// What a run came to.
+// The result of a run.
 struct WorldReport {
-  std::vector<std::string> violations;  // of promises
-  bool recovered = false;  // orders and reports went on after the last fault
-  int64_t struck = 0;      // faults that came about
+  std::vector<std::string> violations;  // of invariants, each once
+  bool recovered = false;  // both kinds of orders continued after the faults
+  int64_t struck = 0;      // faults injected
   int64_t orders = 0;
   int64_t platform_orders = 0;
   int64_t windows = 0;
@@ -246,8 +258,8 @@
   int64_t store_calls = 0;
 };
 
-// A call that is due at a time; in a std::priority_queue the earliest, and of
-// the same time the first one added, is on top.
+// A call scheduled at a time. In a std::priority_queue the earliest call is on
+// top; of several at the same time, the one added first.
 struct TimedCall {
   Instant at{};
   uint64_t number = 0;
@@ -258,16 +270,17 @@
   }
 };
 
-// The hosts, the network between them and the models, and true time.
+// The simulation: hosts, models, the network between them, and true time. Runs
+// are deterministic for given options and injections.
 class World {
  public:
   World(WorldOptions options, std::vector<Injection> injections);
   ~World();
 
-  // Runs to the end and tells what came of it.
+  // Runs the simulation to its end and returns the result.
   WorldReport Run();
 
-  // For the parts.
+  // For the hosts and models.
   Instant Now() const { return this->now; }
   void After(Duration delay, std::function<void()> event);
   void Violation(const std::string& what);
@@ -275,7 +288,7 @@
   Fault Strike(Step step, ModelHost& host);
   bool Chance(double probability);
   Duration Between(Duration least, Duration most);
-  // How long a message travels; empty if it is lost.
+  // Returns the network delay of a message, or nullopt if it is lost.
   std::optional<Duration> Travel();
 
   const WorldOptions options;
@@ -301,12 +314,12 @@
   std::priority_queue<TimedCall> events;
   uint64_t last_event = 0;
   Instant now{};
-  std::vector<Injection> injections;  // the first one strikes next
+  std::vector<Injection> injections;  // injected in this order
   int64_t last_host = 0;
   uint64_t last_incarnation = 0;
   int64_t last_filing = 0;
   int64_t last_request = 0;
-  bool quiet = false;  // nothing new is served, filed or broken any more
+  bool quiet = false;  // no new requests, filings or faults
 
   friend class ModelHost;
 };
--- a/tests/replica_test.cc
+++ b/tests/replica_test.cc
@@ -1,5 +1,5 @@
-// Tests of the configuration's replicas: several hosts, their service and the
-// faults between them, in virtual time.
+// Tests of the configuration replicas: several hosts, the key-value service and
+// the faults between them, in virtual time.
 
 #include <CppUTest/TestHarness.h>
 
@@ -25,16 +25,17 @@
 constexpr Duration kStep = milliseconds(50);
 constexpr Duration kDigestPeriod = milliseconds(250);
 
-// One data centre: hosts h0, h1 and so on, of which the first two watch.
+// Simulates one data centre: hosts h0, h1 and so on, of which the first two
+// watch the service.
 class Bed {
  public:
   struct Host {
     std::unique_ptr<ConfigurationReplica> replica;
     bool watching = false;
-    int64_t watched = 0;  // the service's revision that was told
-    int64_t highest = 0;  // revision ever in force, in this incarnation
+    int64_t watched = 0;  // last store revision delivered by the watch
+    int64_t highest = 0;  // highest revision in force in this incarnation
     int64_t fetches = 0;
-    bool deaf = false;  // answers no fetch
+    bool deaf = false;  // does not answer fetches
   };
 
   explicit Bed(int hosts, ReplicaOptions options = {})
@@ -56,7 +57,7 @@
 
   void Stop(int index) { this->hosts.erase(index); }
 
-  // Lets time pass.
+  // Advances virtual time by `length`.
   void Run(Duration length) {
     for (const Instant end = this->now + length; this->now < end;) {
       this->now += kStep;
@@ -75,7 +76,7 @@
     }
   }
 
-  // Applies a change at the service, past all faults.
+  // Applies a change to the service directly, unaffected by injected faults.
   Result<ConfigurationChange::Applied> Apply(
       const std::function<void(Configuration&)>& edit,
       int64_t above_revision = 0) {
@@ -103,7 +104,7 @@
     });
   }
 
-  // Puts the service back to a backup.
+  // Restores the service from a backup.
   void PutBack(const KeyValueState& backup) {
     this->store = backup;
     for (auto& [index, host] : this->hosts) {
@@ -135,12 +136,12 @@
 
   Instant now = Instant(seconds(1000));
   KeyValueState store;
-  bool down = false;          // the service answers nothing
-  bool watch_silent = false;  // watches say nothing more
-  bool peers_cut = false;     // no digest and no fetch arrives
+  bool down = false;          // the service does not answer
+  bool watch_silent = false;  // watches deliver no events and no error
+  bool peers_cut = false;     // digests and fetches are lost
   int64_t head_reads = 0;
   int64_t whole_reads = 0;
-  bool reverted = false;  // some host's revision went back
+  bool reverted = false;  // a host's revision decreased
   std::map<int, Host> hosts;
 
  private:
@@ -196,7 +197,8 @@
                       : this->store.Transact({.then = {read}});
   }
 
-  // Delivers in the next step, if the host still lives then.
+  // Delivers in the next step, unless the host has stopped or restarted by
+  // then.
   void Later(int index, std::function<ReplicaActions(Host&)> deliver) {
     this->mail.emplace_back([this, index, deliver = std::move(deliver),
                              life = this->hosts.at(index).replica.get()] {
@@ -234,7 +236,7 @@
     }
   }
 
-  // Tells each watch what changed, or that it broke.
+  // Delivers changes to each watch, or its loss while the service is down.
   void Feed() {
     for (auto& [index, host] : this->hosts) {
       if (!host.watching || this->watch_silent) {
@@ -276,7 +278,7 @@
   bed.Run(seconds(2));
   CHECK(bed.AllAt(2));
   CHECK(bed.AllKnow("b"));
-  // Those that don't watch took it from peers.
+  // Hosts without a watch fetch the change from peers.
   LONGS_EQUAL(reads, bed.whole_reads);
 }
 
@@ -291,9 +293,9 @@
   LONGS_EQUAL(2, replica.ValuesAbove(19).size());
 }
 
-// A caller's key was withdrawn, but one host serves it for good: its watch went
-// silent, and as its peers watch the same dead connection, no digest tells. The
-// head that each watching host reads now and then must show it.
+// A host keeps accepting a revoked key: its watch is dead without an error, and
+// its peers have the same dead connection, so no digest announces the change.
+// The periodic read of the head by each watching host must detect it.
 TEST(Replica, NoticesASilentWatchByReadingHead) {
   Bed bed(3);
   CHECK(bed.AddAccount("a").has_value());
@@ -304,9 +306,9 @@
   CHECK(bed.AllKnow("b"));
 }
 
-// All hosts of the fleet are replaced while the platform is out. Until it is
-// back nobody can know any key; when it is back all must have the configuration
-// without an operator, and must not all read it in the same moment for ever.
+// All hosts are replaced during a platform outage. Until it ends no host can
+// know any key. Afterwards all must load the configuration without an operator,
+// and must not keep reading it all at the same moment.
 TEST(Replica, ComesBackAfterAllRestartedDuringAnOutage) {
   Bed bed(5);
   CHECK(bed.AddAccount("a").has_value());
@@ -324,8 +326,8 @@
   CHECK(bed.hosts[4].replica->KeysTrusted(bed.now));
 }
 
-// The platform is out, and one host is replaced. Its peers have the
-// configuration in force; it must not wait for the platform.
+// One host is replaced during a platform outage. It must take the configuration
+// from its peers instead of waiting for the platform.
 TEST(Replica, RestartedHostLearnsFromPeersDuringAnOutage) {
   Bed bed(3);
   CHECK(bed.AddAccount("a").has_value());
@@ -336,8 +338,8 @@
   CHECK(bed.AllKnow("a"));
 }
 
-// A peer says that it has the new revision and then answers nothing, as it was
-// paused. The others must not wait for it.
+// A peer announces the new revision and then does not answer fetches, for
+// example because it is paused. The other hosts must not wait for it.
 TEST(Replica, PassesOverAPeerThatDoesNotAnswer) {
   Bed bed(4);
   bed.hosts[0].deaf = true;
@@ -347,8 +349,8 @@
   CHECK(bed.AllKnow("a"));
 }
 
-// A host was paused for an hour and wakes with an old revision, which it offers
-// in digests and answers. Nobody may go back to it.
+// A host resumes after a pause of an hour and offers its old revision in
+// digests and answers. No host may revert to it.
 TEST(Replica, StalePeerBringsNothingBack) {
   Bed bed(2);
   CHECK(bed.AddAccount("a").has_value());
@@ -363,9 +365,9 @@
   CHECK(fresh.Counts().lower_ignored > 0);
 }
 
-// The platform's people put the service back to last night's backup. Accounts
-// created and keys withdrawn since would silently be undone on every host that
-// reads it again. The lower revision must be refused, counted, and shown.
+// The service is restored from last night's backup. Accounts created and keys
+// revoked since then would silently be undone on every host that reads it
+// again. The lower revision must be refused, counted, and shown.
 void RestoreOlder(Bed& bed) {
   CHECK(bed.AddAccount("a").has_value());
   bed.Run(seconds(3));
@@ -373,7 +375,7 @@
   CHECK(bed.AddAccount("b").has_value());
   bed.Run(seconds(3));
   bed.PutBack(backup);
-  bed.down = true;  // its clients are thrown off meanwhile
+  bed.down = true;  // a restore disconnects the clients
   bed.Run(seconds(1));
   bed.down = false;
   bed.Run(seconds(20));
@@ -386,7 +388,7 @@
   CHECK(bed.AllKnow("b"));
   CHECK(!bed.reverted);
   CHECK(bed.LowerIgnored() > 0);
-  // Nor does a host that starts anew stay with the backup.
+  // A restarted host does not stay at the backup's revision either.
   bed.Restart(0);
   bed.Run(seconds(5));
   CHECK(bed.AllAt(2));
@@ -398,10 +400,11 @@
   CHECK(bed.reverted);
 }
 
-// After the service was put back to a backup, operators make other changes in
-// it, until its revision passes the one in force at the hosts. Numbers of the
-// two histories fit together, though the contents don't: an account created
-// before would stay on some hosts for ever. The whole state must be read.
+// After a restore from a backup, operators make other changes until the
+// service's revision exceeds the one in force at the hosts. The revision
+// numbers of the two histories are consistent but the contents differ, so that
+// an account created before the restore would stay on some hosts permanently.
+// The hosts must read the whole state.
 void Fork(Bed& bed) {
   CHECK(bed.AddAccount("a").has_value());
   bed.Run(seconds(3));
@@ -435,9 +438,9 @@
   }));
 }
 
-// A data centre is cut off from the platform and from all others. It goes on
-// serving known keys, but not for longer than its site allows: a key withdrawn
-// meanwhile must stop working at last, without anybody reaching the hosts.
+// A data centre is partitioned from the platform and from all others. It keeps
+// serving known keys only for the time limit of its site, so that a key revoked
+// meanwhile stops working although nothing can reach the hosts.
 TEST(Replica, TrustsKeysForTheLimitOnlyWhileCutOff) {
   Bed bed(3);
   CHECK(bed.AddAccount("a").has_value());
@@ -454,7 +457,7 @@
   CHECK(bed.hosts[2].replica->KeysTrusted(bed.now));
 }
 
-// Nobody changes anything for a day; keys must not lose trust for that.
+// No change is made for a long time, such as a day. Keys must stay trusted.
 TEST(Replica, StaysTrustedWhileNothingChanges) {
   Bed bed(3);
   CHECK(bed.AddAccount("a").has_value());
@@ -464,7 +467,8 @@
   }
 }
 
-// Bytes that are no configuration must change nothing, whoever sends them.
+// Values that are not a valid configuration must be ignored, whichever peer
+// sends them.
 TEST(Replica, IgnoresBrokenValues) {
   Bed bed(1);
   CHECK(bed.AddAccount("a").has_value());
@@ -480,10 +484,10 @@
   LONGS_EQUAL(5, replica.Counts().invalid_ignored);
 }
 
-// An hour of one data centre with every fault at any time: outages, silent
-// watches, cut peers, restarts, peers that answer nothing, the service put back
-// to a backup. Then all faults end, and an operator makes one more change,
-// above whatever is in force, as hickoryctl does.
+// Runs one data centre for an hour with random faults: outages, silent watches,
+// partitions between peers, restarts, peers that do not answer, restores from a
+// backup. Then all faults end, and an operator makes one more change with a
+// revision above the highest in force, as hickoryctl does.
 void RunHourOfFaults(uint32_t seed, Bed& bed) {
   std::mt19937 random(seed);
   const auto chance = [&](uint32_t one_in) { return random() % one_in == 0; };
--- a/tests/soak.cc
+++ b/tests/soak.cc
@@ -1,11 +1,12 @@
-// Long randomised runs of the promises, with invariants asserted inside the
-// program and checked by the models.
+// Long randomised runs of the protocol simulation. Invariants are asserted
+// inside the program and checked by the models.
 //
-//   soak --hours H --seed S     runs H virtual hours from seed S on, in runs of
-//                               a tenth of an hour, and prints what came of it
+//   soak --hours H --seed S     runs H virtual hours in runs of a tenth of an
+//                               hour, with seeds from S on; prints a summary
 //
-// Every few seconds a random fault is armed at a random step; besides, messages
-// are lost and arrive seconds late. A seed that shows a fault becomes a test.
+// Every few seconds a random fault is injected at a random step; messages are
+// also lost or delayed by seconds. Seeds that reveal a fault are added as
+// tests.
 
 #include <algorithm>
 #include <cstdio>
@@ -21,9 +22,9 @@
 namespace hickorystand {
 namespace {
 
-constexpr double kRunHours = 0.1;  // of SoakOptions()
+constexpr double kRunHours = 0.1;  // length of a run in SoakOptions()
 
-// What all runs came to together.
+// The sums over all runs.
 struct SoakTally {
   int64_t runs = 0;
   int64_t faults = 0;
@@ -35,7 +36,7 @@
   int64_t served = 0;
   int64_t reported = 0;
   int64_t stuck = 0;
-  std::map<std::string, std::string> violations;  // and the first seed of each
+  std::map<std::string, std::string> violations;  // with the first seed
 
   void Add(uint64_t seed, const WorldReport& report);
   void Print() const;
@@ -53,7 +54,7 @@
   this->reported += report.reported;
   if (!report.recovered) {
     ++this->stuck;
-    std::printf("seed %lu: no orders after the faults had passed\n",
+    std::printf("seed %lu: no orders after the faults had ended\n",
                 static_cast<unsigned long>(seed));
   }
   for (const std::string& violation : report.violations) {
@@ -100,7 +101,8 @@
 }  // namespace hickorystand
 
 int main(int argc, char** argv) {
-  cxxopts::Options options("soak", "Long randomised runs of the promises");
+  cxxopts::Options options("soak",
+                           "Long randomised runs of the protocol simulation");
   options.add_options()("hours", "virtual hours to run",
                         cxxopts::value<double>()->default_value("10"))(
       "seed", "first seed", cxxopts::value<uint64_t>()->default_value("1"))(
