--- a/tests/policy_parts_test.cc
+++ b/tests/policy_parts_test.cc
@@ -433,7 +433,7 @@
 }
 
 // Load falls at night. Endpoints are released, but each data centre keeps
-// enough that the loss of one cheap zone leaves it at its minimum.
+// enough that losing one cheap zone does not take it below its minimum.
 TEST(Placement, GivesBackDownToWhatOutlivesAZone) {
   Planner planner(kModel, Rates());
   std::vector<EndpointState> endpoints = Engines(18, EndpointRole::kMixed);
--- a/tests/policy_properties_test.cc
+++ b/tests/policy_properties_test.cc
@@ -48,7 +48,7 @@
   // False once an action names a request that is not open, or cancels an
   // attempt that is not running.
   bool consistent = true;
-  std::map<RequestId, int64_t> once_sends;  // whose bytes may have been sent
+  std::map<RequestId, int64_t> once_sends;  // sends that may have arrived
   std::set<RequestId> open;
 
  private:
