--- a/tests/policy_parts_test.cc
+++ b/tests/policy_parts_test.cc
@@ -145,17 +145,18 @@
 TEST(Admission, CountsWhatPeersHaveServed) {
   Admission admission({.idle_credit_tokens = 0});
   admission.OnConfiguration(*TwoAccounts());
-  const auto tell = [&](uint64_t sequence, int64_t cost) {
+  const auto receive_digest = [&](uint64_t sequence, int64_t cost) {
     admission.OnDigest({.host = HostId("h2"),
                         .incarnation = 1,
                         .sequence = sequence,
                         .served = {{AccountId("large"), cost, 0}}});
   };
-  tell(1, 500000);  // served before the peer's first digest: not charged
+  // Work served before the peer's first digest is not charged.
+  receive_digest(1, 500000);
   DOUBLES_EQUAL(0, admission.Counter(AccountId("large")), 0.1);
-  tell(2, 510000);
+  receive_digest(2, 510000);
   DOUBLES_EQUAL(10000, admission.Counter(AccountId("large")), 0.1);
-  tell(2, 900000);  // repeated sequence number: ignored
+  receive_digest(2, 900000);  // repeated sequence number: ignored
   DOUBLES_EQUAL(10000, admission.Counter(AccountId("large")), 0.1);
 }
 
@@ -394,11 +395,11 @@
 TEST(Placement, LastingMixMovesRoles) {
   Planner planner(kModel, Rates());
   Feed(planner, 0, 600, 1, 14);
-  const auto wishes =
+  const auto proposals =
       planner.ProposeRoleChanges(At(600), Engines(18, EndpointRole::kPrefill));
-  CHECK(!wishes.empty() && wishes.size() <= 3);
-  for (const PlacementProposal& wish : wishes) {
-    STRCMP_EQUAL("decode", wish.argument.c_str());
+  CHECK(!proposals.empty() && proposals.size() <= 3);
+  for (const PlacementProposal& proposal : proposals) {
+    STRCMP_EQUAL("decode", proposal.argument.c_str());
   }
 }
 
@@ -418,15 +419,15 @@
   for (int swing = 0; swing < 20; ++swing) {
     now = Feed(planner, now, 60, swing % 2 == 0 ? 13 : 2,
                swing % 2 == 0 ? 2 : 10);
-    for (const PlacementProposal& wish :
+    for (const PlacementProposal& proposal :
          planner.ProposeRoleChanges(At(now), endpoints)) {
       changes += 1;
       const auto changed =
           std::ranges::find_if(endpoints, [&](const EndpointState& state) {
-            return state.endpoint.id == wish.endpoint;
+            return state.endpoint.id == proposal.endpoint;
           });
-      changed->role = wish.argument == "prefill" ? EndpointRole::kPrefill
-                                                 : EndpointRole::kDecode;
+      changed->role = proposal.argument == "prefill" ? EndpointRole::kPrefill
+                                                     : EndpointRole::kDecode;
     }
   }
   CHECK(changes <= 6);
@@ -444,13 +445,14 @@
   double now = Feed(planner, 0, 600, 1, 1);
   for (int i = 0; i < 60; ++i) {
     now = Feed(planner, now, 70, 1, 1);
-    const auto wish = planner.ProposeCapacityChange(At(now), endpoints, 2, 18);
-    if (!wish) {
+    const auto proposal =
+        planner.ProposeCapacityChange(At(now), endpoints, 2, 18);
+    if (!proposal) {
       continue;
     }
-    LONGS_EQUAL(-1, wish->change);
+    LONGS_EQUAL(-1, proposal->change);
     std::erase_if(endpoints, [&](const EndpointState& state) {
-      return state.endpoint.id == wish->endpoint;
+      return state.endpoint.id == proposal->endpoint;
     });
   }
   CHECK(endpoints.size() < 18);
--- a/tests/policy_test.cc
+++ b/tests/policy_test.cc
@@ -171,7 +171,7 @@
       MakeDispatcher(FleetBuilder().WithAccount("a").WithEndpoints(6).Build());
   std::map<AttemptId, Dispatch> running;
   std::set<EndpointId> lost;
-  const auto take = [&](const DispatchList& list) {
+  const auto record_sends = [&](const DispatchList& list) {
     for (const Dispatch& one : list) {
       if (one.kind == DispatchKind::kSend) {
         running[one.attempt] = one;
@@ -179,15 +179,16 @@
     }
   };
   for (int i = 0; i < 12; ++i) {
-    take(dispatcher->OnArrival(At(0), MakeRequest("r" + std::to_string(i))));
+    record_sends(
+        dispatcher->OnArrival(At(0), MakeRequest("r" + std::to_string(i))));
   }
   int64_t refused_as_suspect = 0;
-  for (int again = 0; again < 5; ++again) {
-    Request killer = MakeRequest("killer" + std::to_string(again));
+  for (int resend = 0; resend < 5; ++resend) {
+    Request killer = MakeRequest("killer" + std::to_string(resend));
     killer.fingerprint = 666;
-    const DispatchList out = dispatcher->OnArrival(At(again), killer);
+    const DispatchList out = dispatcher->OnArrival(At(resend), killer);
     refused_as_suspect += RefusalIn(out) == ErrorKind::kSuspectRequest;
-    take(out);
+    record_sends(out);
     for (bool crashed = true; crashed;) {
       const auto found = std::ranges::find_if(running, [](const auto& one) {
         return one.second.request.Text().starts_with("killer");
@@ -206,18 +207,18 @@
       }
       for (const AttemptId attempt : victims) {
         running.erase(attempt);
-        take(dispatcher->OnResult(At(again + 0.5),
-                                  MakeResult(attempt, Outcome::kCrashed)));
+        record_sends(dispatcher->OnResult(
+            At(resend + 0.5), MakeResult(attempt, Outcome::kCrashed)));
       }
     }
   }
   LONGS_EQUAL(2, lost.size());
   LONGS_EQUAL(4, refused_as_suspect);
-  std::set<RequestId> innocents;
+  std::set<RequestId> unrelated;
   for (const auto& [attempt, one] : running) {
-    innocents.insert(one.request);
+    unrelated.insert(one.request);
   }
-  LONGS_EQUAL(12, innocents.size());
+  LONGS_EQUAL(12, unrelated.size());
 }
 
 // Every endpoint fails every attempt. Unbounded retries would multiply the load
--- a/tests/promise_host.cc
+++ b/tests/promise_host.cc
@@ -21,20 +21,20 @@
 CoordinatorOptions CoordinatorFor(const WorldOptions& options,
                                   const HostId& id,
                                   uint64_t incarnation) {
-  CoordinatorOptions made = options.coordinator;
-  made.lease.data_centre = kDataCentre;
-  made.lease.host = id;
-  made.lease.incarnation = incarnation;
-  return made;
+  CoordinatorOptions result = options.coordinator;
+  result.lease.data_centre = kDataCentre;
+  result.lease.host = id;
+  result.lease.incarnation = incarnation;
+  return result;
 }
 
 ClaimOptions ClaimsFor(const WorldOptions& options,
                        const HostId& id,
                        uint64_t incarnation) {
-  ClaimOptions made = options.claims;
-  made.host = id;
-  made.incarnation = incarnation;
-  return made;
+  ClaimOptions result = options.claims;
+  result.host = id;
+  result.incarnation = incarnation;
+  return result;
 }
 
 // Returns the step of a transaction, derived from the keys that it writes.
@@ -73,10 +73,10 @@
       meter({.host = id, .incarnation = incarnation}) {}
 
 Instant ModelHost::Clock() const {
-  const double run =
+  const double elapsed =
       static_cast<double>(this->world.Now().time_since_epoch().count()) *
       this->clock.speed;
-  return Instant(Duration(static_cast<int64_t>(run)) + this->clock.offset);
+  return Instant(Duration(static_cast<int64_t>(elapsed)) + this->clock.offset);
 }
 
 void ModelHost::Deliver(std::function<void()> event) {
--- a/tests/promise_world.cc
+++ b/tests/promise_world.cc
@@ -539,20 +539,20 @@
     return;
   }
   const RequestId request("r" + std::to_string(++this->last_request));
-  const auto heard = std::make_shared<bool>(false);
+  const auto answered = std::make_shared<bool>(false);
   this->AnyHost().File(
-      request, key, [this, key, tries, request, heard](FilingAnswer answer) {
+      request, key, [this, key, tries, request, answered](FilingAnswer answer) {
         if (answer == FilingAnswer::kNotRun) {
           this->filings.ToldNotRun(request);
         }
-        if (!std::exchange(*heard, true) &&
+        if (!std::exchange(*answered, true) &&
             (answer != FilingAnswer::kDone || this->Chance(0.2))) {
           this->After(milliseconds(500),
                       [this, key, tries] { this->File(key, tries + 1); });
         }
       });
-  this->After(seconds(4), [this, key, tries, heard] {
-    if (!std::exchange(*heard, true)) {
+  this->After(seconds(4), [this, key, tries, answered] {
+    if (!std::exchange(*answered, true)) {
       this->File(key, tries + 1);
     }
   });
--- a/tests/replica_test.cc
+++ b/tests/replica_test.cc
@@ -48,10 +48,10 @@
   void Restart(int index) {
     Host& host = this->hosts[index];
     host = {};
-    ReplicaOptions mine = this->options;
-    mine.data_centre = DataCentreId("dc1");
-    mine.seed = static_cast<uint64_t>(index) + 1;
-    host.replica = std::make_unique<ConfigurationReplica>(mine);
+    ReplicaOptions host_options = this->options;
+    host_options.data_centre = DataCentreId("dc1");
+    host_options.seed = static_cast<uint64_t>(index) + 1;
+    host.replica = std::make_unique<ConfigurationReplica>(host_options);
     this->Do(index, host.replica->SetWatching(this->now, index < 2));
   }
 
@@ -201,9 +201,9 @@
   // then.
   void Later(int index, std::function<ReplicaActions(Host&)> deliver) {
     this->mail.emplace_back([this, index, deliver = std::move(deliver),
-                             life = this->hosts.at(index).replica.get()] {
+                             replica = this->hosts.at(index).replica.get()] {
       const auto host = this->hosts.find(index);
-      if (host != this->hosts.end() && host->second.replica.get() == life) {
+      if (host != this->hosts.end() && host->second.replica.get() == replica) {
         this->Do(index, deliver(host->second));
       }
     });
@@ -502,8 +502,8 @@
     if (chance(120)) {
       bed.Restart(static_cast<int>(random() % 4));
     }
-    auto& odd = bed.hosts[static_cast<int>(random() % 4)];
-    odd.deaf = chance(50) ? !odd.deaf : odd.deaf;
+    auto& host = bed.hosts[static_cast<int>(random() % 4)];
+    host.deaf = chance(50) ? !host.deaf : host.deaf;
     if (chance(400)) {
       backup = bed.store;
     }
--- a/tests/soak.cc
+++ b/tests/soak.cc
@@ -107,12 +107,12 @@
                         cxxopts::value<double>()->default_value("10"))(
       "seed", "first seed", cxxopts::value<uint64_t>()->default_value("1"))(
       "help", "print this");
-  const auto given = options.parse(argc, argv);
-  if (given.count("help") != 0) {
+  const auto arguments = options.parse(argc, argv);
+  if (arguments.count("help") != 0) {
     std::printf("%s\n", options.help().c_str());
     return 0;
   }
   hickorystand::StartLog({.level = hickorystand::LogLevel::kError});
-  return hickorystand::Soak(given["hours"].as<double>(),
-                            given["seed"].as<uint64_t>());
+  return hickorystand::Soak(arguments["hours"].as<double>(),
+                            arguments["seed"].as<uint64_t>());
 }
