--- a/packages/ctl/admin_client.h
+++ b/packages/ctl/admin_client.h
@@ -1,4 +1,14 @@
-// Asks the entry hosts' administration interface, all hosts at once.
+// Client of the hosts' administration interface (HTTP). Sends a request to one
+// host, or to all hosts of a fleet in parallel.
+//
+//   AdminClient admin(addresses, token, std::chrono::seconds(2));
+//   const FleetStatus fleet = admin.Status();
+//
+// Index
+//   AdminAnswer   the answer of one host
+//   FleetHost     the status of one host
+//   FleetStatus   the status of all hosts
+//   AdminClient   sends the requests
 
 #pragma once
 
@@ -14,33 +24,38 @@
 
 namespace hickorystand {
 
-// What one host answered.
+// The answer of one host, or the reason why there is none.
 struct AdminAnswer {
   SocketAddress address;
   Result<Json> body;
 };
 
-// How a host stands, as far as every command needs it.
+// The status of one host: the fields that several commands use, and the
+// complete answer.
 struct FleetHost {
   SocketAddress address;
   HostId host;
   DataCentreId data_centre;
   int64_t revision = 0;
   bool draining = false;
-  Json whole;  // all that it answered
+  Json whole;  // the complete /admin/status answer
 };
 
-// What all hosts together said.
+// The status of all hosts.
 struct FleetStatus {
-  std::vector<FleetHost> hosts;            // by data centre and id
-  std::vector<SocketAddress> unreachable;  // no answer, or none that counts
-  std::vector<std::string> reasons;        // why, one for each of them
+  std::vector<FleetHost> hosts;            // sorted by data centre, id
+  std::vector<SocketAddress> unreachable;  // no answer, or an invalid one
+  std::vector<std::string> reasons;        // one for each of `unreachable`
 
-  // The highest revision in force anywhere; 0 if no host answered.
+  // The highest configuration revision in force at any host; 0 if no host
+  // answered.
   int64_t HighestRevision() const;
 };
 
-// Client of all hosts' interfaces. Each call waits for all answers.
+// Sends requests to the hosts' administration interface. Calls block until
+// every host that was asked has answered or `timeout` has passed. Errors:
+// kTimeout if a host did not answer, kUnauthenticated if it refused the token,
+// kNotFound for status 404, and kInternal for any other status.
 class AdminClient {
  public:
   AdminClient(std::vector<SocketAddress> hosts,
@@ -50,16 +65,18 @@
   AdminClient(const AdminClient&) = delete;
   AdminClient& operator=(const AdminClient&) = delete;
 
-  // Asks every host; one answer for each, in the order of the addresses.
+  // Sends a request to every host. The answers are in the order of the
+  // addresses.
   std::vector<AdminAnswer> AskAll(const std::string& method,
                                   const std::string& target);
 
-  // Asks one host.
+  // Sends a request to one host. It may be sent more than once, so it must be
+  // idempotent.
   Result<Json> Ask(const SocketAddress& address,
                    const std::string& method,
                    const std::string& target);
 
-  // GET /admin/status of every host.
+  // Reads /admin/status of every host.
   FleetStatus Status();
 
   bool HasHosts() const { return !this->hosts.empty(); }
@@ -72,7 +89,7 @@
   std::unique_ptr<JsonClient> client;
 };
 
-// IP:PORT, as in settings.
+// Formats an address as IP:PORT, or [IP]:PORT for IPv6, as in settings.
 std::string AddressText(const SocketAddress& address);
 
 }  // namespace hickorystand
--- a/packages/ctl/command.h
+++ b/packages/ctl/command.h
@@ -1,5 +1,11 @@
-// The commands of the operators' client, as rows of one table: what help,
-// completion and the dispatch know of each comes from there.
+// The commands of hickoryctl, as one table. The help pages, the shell
+// completion, the parsing of options and the dispatch are all driven by it.
+//
+// Index
+//   CommandOption   an option of one command
+//   Invocation      the parsed command line
+//   Command         a row of the table
+//   AllCommands     the table
 
 #pragma once
 
@@ -14,16 +20,16 @@
 
 namespace hickorystand {
 
-// An option that one command takes beside those of all commands.
+// An option of a command, in addition to the options common to all commands.
 struct CommandOption {
   std::string name;
   std::string help;
   bool takes_value = false;
 };
 
-// One call of a command, as the user typed it.
+// The arguments and options of one command line.
 struct Invocation {
-  std::vector<std::string> arguments;  // without options
+  std::vector<std::string> arguments;  // without options and command name
   const cxxopts::ParseResult* options = nullptr;
 
   bool Has(const std::string& option) const {
@@ -34,12 +40,13 @@
   }
 };
 
-// One command. Its work answers an error, or true when all is well.
+// One command. `run` executes it and returns true or an error, whose kind
+// determines the exit code.
 struct Command {
   std::string name;       // one or two words, such as "key add"
   std::string arguments;  // for help, such as "ACCOUNT"
   std::string summary;    // one line
-  std::string help;       // what a newcomer has to know
+  std::string help;       // further paragraphs of the help page
   std::vector<std::string> examples;
   size_t least_arguments = 0;
   size_t most_arguments = SIZE_MAX;
@@ -59,10 +66,10 @@
 // account use.
 std::vector<Command> LimitCommands();
 
-// kBadSetting if no entry host is set.
+// Returns kBadSetting if no administration address of a host is configured.
 Result<bool> NeedHosts(CtlSession& session);
 
-// All of them, in the order of the help.
+// All commands, in the order of the help page.
 std::span<const Command> AllCommands();
 
 }  // namespace hickorystand
--- a/packages/ctl/configuration_commands.cc
+++ b/packages/ctl/configuration_commands.cc
@@ -1,4 +1,4 @@
-// Commands about the configuration as a whole.
+// Commands on the configuration as a whole: check, diff, apply, show, schema.
 
 #include <algorithm>
 
@@ -9,7 +9,7 @@
 namespace hickorystand {
 namespace {
 
-// Reads base file and overlays, and prints their warnings.
+// Reads the base file and the overlays, and prints warnings.
 Result<ConfigurationInput> ReadFiles(CtlSession& session,
                                      const Invocation& invocation) {
   std::vector<ConfigurationFile> files;
@@ -31,9 +31,10 @@
   return input;
 }
 
-// What is to be in force: what the files say, with the keys in force. Records
-// that no file names stay, unless they are to be pruned; an operator's file may
-// be older than what a colleague created at the command line.
+// Merges the configuration of the files with the API keys in force. Records
+// that are in no file are retained and listed in `kept`, unless `prune` is set:
+// the files may be older than records that another operator created at the
+// command line.
 Configuration Combine(const Configuration& files,
                       const Configuration& in_force,
                       bool prune,
@@ -49,9 +50,9 @@
     }
     if (key && prune &&
         !files.accounts.contains(AccountId(record.fields.at("account")))) {
-      continue;  // goes with its account
+      continue;  // removed with its account
     }
-    // What lies in the service was checked when it was read.
+    // Can't fail: the stored configuration was checked when it was read.
     static_cast<void>(PutRecord(wanted, record));
     if (!key) {
       kept.push_back(record.Name());
@@ -126,7 +127,7 @@
   return true;
 }
 
-// Whether a record matters at a site.
+// Whether a record applies to a site.
 bool StandsAt(const Record& record, const std::string& site) {
   if (record.kind == "site") {
     return record.id == site;
--- a/packages/ctl/configuration_files.cc
+++ b/packages/ctl/configuration_files.cc
@@ -13,19 +13,20 @@
 namespace hickorystand {
 namespace {
 
-// The kinds that have a section for all of them.
+// Whether a kind can have a section without an id, which sets the defaults of
+// all its records.
 bool HasDefaults(const std::string& kind) {
   return kind == "site" || kind == "endpoint";
 }
 
-// Where a field was stated last.
+// The section and line that last set a field.
 struct Place {
   const IniFaults* file = nullptr;
   int line = 0;
   std::string section;
 };
 
-// A section's heading: a kind, and the id unless it is for all of a kind.
+// A section's heading: [kind id], or [kind] for the defaults of a kind.
 struct Heading {
   std::string kind;
   std::string id;
@@ -48,7 +49,8 @@
   return names;
 }
 
-// Puts the files together, record by record.
+// Parses the files and merges them into one configuration. Collects all faults,
+// so that one run reports them together.
 class FileReader {
  public:
   Result<ConfigurationInput> Read(
@@ -87,7 +89,8 @@
     }
   }
 
-  // The site of an overlay; empty, and a fault, unless it names one.
+  // The site that an overlay is for. If it names none, adds a fault and returns
+  // an empty string.
   std::string SiteOf(const std::vector<IniSection>& sections,
                      IniFaults& faults) {
     std::string site;
@@ -183,8 +186,9 @@
     }
   }
 
-  // An overlay states only where its site differs. A value that repeats what
-  // holds anyway hides a later change of the base file from this site.
+  // Adds a warning if an overlay sets a field to the value that the site would
+  // have without it: such an entry masks later changes of the base file at this
+  // site.
   void CompareWithBase(const Heading& heading,
                        const RecordSchema& schema,
                        bool known,
@@ -246,7 +250,7 @@
         return;
       }
     }
-    // Endpoints of a plain service can have one role only.
+    // "plain" is the only role that endpoints of a plain service can have.
     if (schema.kind == "endpoint" && !record.fields.contains("role")) {
       const auto service =
           configuration.services.find(ServiceId(record.fields.at("service")));
@@ -260,7 +264,8 @@
     }
   }
 
-  // Adds a fault where the field was stated, or else where its section is.
+  // Adds a fault at the line that set the field, or else at the line of the
+  // record's section.
   void AddFault(const std::string& record,
                 const std::string& field,
                 const std::string& what) {
@@ -287,7 +292,7 @@
     return text;
   }
 
-  std::vector<IniFaults> files;  // never grows beyond what was reserved
+  std::vector<IniFaults> files;  // never reallocated: Place points into it
   std::map<std::string, Fields> records;
   std::map<std::string, Fields> defaults;                      // by kind
   std::map<std::string, std::map<std::string, Place>> places;  // "": section
--- a/packages/ctl/ctl.cc
+++ b/packages/ctl/ctl.cc
@@ -88,7 +88,7 @@
   }
 }
 
-// A completion script; every word comes from the table of commands.
+// Writes the bash completion script, generated from the table of commands.
 void WriteCompletion(std::ostream& out) {
   std::string firsts;
   std::ostringstream cases;
@@ -153,7 +153,7 @@
   return std::string(g_get_user_name()) + "@" + g_get_host_name();
 }
 
-// The client's settings: from its file, and then from options.
+// Reads the settings from the file of --config; options take precedence.
 Result<CtlSettings> ReadSettings(const Invocation& invocation) {
   const std::string file = invocation.Value("config");
   const auto read = file.empty() ? Settings::Parse("", "", CtlSettingRules())
@@ -196,7 +196,8 @@
   return settings;
 }
 
-// Finds the command that the first words name, and takes them away.
+// Finds the command named by the first two words or the first word, and removes
+// its name from `words`. Null if there is no such command.
 const Command* TakeCommand(std::vector<std::string>& words) {
   for (const size_t length : {size_t{2}, size_t{1}}) {
     if (words.size() < length) {
@@ -234,7 +235,8 @@
   return answer.exit_code;
 }
 
-// All options of all commands; which of them a command takes is checked later.
+// Makes a parser of the options of all commands. RunCommand() checks whether
+// the command accepts the options given.
 cxxopts::Options MakeParser() {
   cxxopts::Options parser("hickoryctl");
   std::vector<std::string> known;
@@ -259,7 +261,7 @@
   return parser;
 }
 
-// The first option given that this command doesn't take.
+// The first option given that this command doesn't accept.
 std::optional<std::string> StrangeOption(const Command& command,
                                          const cxxopts::ParseResult& parsed) {
   for (const auto& given : parsed.arguments()) {
--- a/packages/ctl/ctl.h
+++ b/packages/ctl/ctl.h
@@ -1,4 +1,5 @@
-// hickoryctl, the operators' client, as a function.
+// hickoryctl, the operators' command-line client, as a function that tests can
+// call.
 
 #pragma once
 
@@ -8,8 +9,8 @@
 
 namespace hickorystand {
 
-// Runs one command line, without the program's name, and answers the exit code
-// that the error table gives.
+// Runs one command line, given without the program's name. Returns 0 or the
+// exit code of the error's kind, as in the error table.
 int RunCtl(const std::vector<std::string>& arguments,
            std::ostream& out,
            std::ostream& error);
--- a/packages/ctl/fleet_commands.cc
+++ b/packages/ctl/fleet_commands.cc
@@ -1,4 +1,4 @@
-// Commands about the hosts that run: status, drain and why.
+// Commands on running hosts: status, drain and why.
 
 #include <algorithm>
 #include <cerrno>
@@ -21,12 +21,12 @@
 
 constexpr Duration kRefresh = std::chrono::seconds(1);
 
-// What one data centre's hosts said, put together.
+// The combined status of the hosts of one data centre.
 struct DataCentreView {
   std::vector<const FleetHost*> hosts;
   std::string holder;
   int64_t fencing = 0;
-  std::map<std::string, int64_t> endpoints;  // "chat mixed ready" -> how many
+  std::map<std::string, int64_t> endpoints;  // by "SERVICE ROLE STATE"
   std::map<std::string, int64_t> refusals;
   std::string worst_account;
   double worst_share = std::numeric_limits<double>::infinity();
@@ -39,7 +39,8 @@
     view.fencing = lease.At("fencing").Integer();
     view.holder = lease.At("holder").Text();
   }
-  // Every host sees the same endpoints; one that sees more knows better.
+  // All hosts watch the same endpoints. A host that has fewer combinations of
+  // service, role and state has an incomplete view, so the largest one is used.
   std::map<std::string, int64_t> endpoints;
   for (const Json& endpoint : host.whole.At("endpoints").Items()) {
     ++endpoints[endpoint.At("service").Text() + " " +
@@ -145,7 +146,7 @@
   while (true) {
     const FleetStatus fleet = session.Admin().Status();
     if (watch) {
-      // Home, and clear what is left of the last picture below.
+      // Moves the cursor to the top left and clears the screen below it.
       session.Out().Out() << "\x1b[H\x1b[J";
     }
     session.Out().Line(StatusText(fleet));
@@ -202,7 +203,7 @@
   return text;
 }
 
-// An input of log lines: HOST=FILE, FILE, or - for standard input.
+// A log to read: HOST=FILE, FILE, or - for standard input.
 struct LogInput {
   std::string host;
   std::string path;
@@ -236,7 +237,7 @@
   return true;
 }
 
-// Explains a request by log lines of relay hosts.
+// Reports on a request from log files of relay hosts.
 Result<bool> WhyByLogs(CtlSession& session,
                        const std::string& request,
                        std::span<const std::string> inputs) {
--- a/packages/ctl/limit_commands.cc
+++ b/packages/ctl/limit_commands.cc
@@ -1,4 +1,4 @@
-// Commands about the limits of client accounts: account use.
+// Commands on the limits of client accounts: account use.
 
 #include <algorithm>
 #include <limits>
@@ -13,7 +13,8 @@
 
 constexpr double kMillisecondsInSecond = 1000;
 
-// What one host says of the account. `limit` is absent if it knows of none.
+// One host's status of the account's limit. `limit` is absent if the host has
+// none in force for the account.
 struct HostUse {
   const FleetHost* host = nullptr;
   Json limits;
@@ -35,7 +36,8 @@
   return uses;
 }
 
-// The host with the newest configuration among those that know of a limit.
+// The entry with the newest configuration among the hosts that have a limit in
+// force; null if there is none.
 const HostUse* Newest(const std::vector<HostUse>& uses) {
   const HostUse* newest = nullptr;
   for (const HostUse& use : uses) {
--- a/packages/ctl/main/hickoryctl.cc
+++ b/packages/ctl/main/hickoryctl.cc
@@ -8,7 +8,8 @@
 #include "kernel/log.h"
 
 int main(int argc, char** argv) {
-  // What a command has to say, it prints; the log is for the libraries' faults.
+  // Commands print their results themselves; only errors of the libraries are
+  // logged.
   hickorystand::StartLog({.level = hickorystand::LogLevel::kError});
   const std::vector<std::string> arguments(argv + 1, argv + argc);
   return hickorystand::RunCtl(arguments, std::cout, std::cerr);
--- a/packages/ctl/record_commands.cc
+++ b/packages/ctl/record_commands.cc
@@ -1,4 +1,4 @@
-// Commands about single records: accounts, services, sites and keys.
+// Commands on single records: accounts, services, sites and API keys.
 
 #include <glib.h>
 
@@ -14,10 +14,10 @@
 namespace {
 
 constexpr int kKeyBytes = 32;
-constexpr size_t kShownHash = 12;   // enough to tell keys apart
-constexpr size_t kLeastPrefix = 8;  // of a hash that names a key
+constexpr size_t kShownHash = 12;   // characters; enough to tell keys apart
+constexpr size_t kLeastPrefix = 8;  // characters of a hash given as argument
 
-// Reads FIELD=VALUE arguments into a record.
+// Parses FIELD=VALUE arguments into a record.
 Result<bool> ReadFields(const std::vector<std::string>& arguments,
                         Record& record) {
   const RecordSchema* schema = FindRecordSchema(record.kind);
@@ -46,14 +46,14 @@
   return true;
 }
 
-// Finds a record by name; nothing if there is none.
+// Finds a record by name; null if there is none.
 const Record* Find(const std::vector<Record>& records,
                    const std::string& name) {
   const auto found = std::ranges::find(records, name, &Record::Name);
   return found == records.end() ? nullptr : &*found;
 }
 
-// Adds a record, or changes the named fields of one that exists.
+// Adds a record, or changes the given fields of an existing one.
 Result<bool> Add(CtlSession& session,
                  const Invocation& invocation,
                  const std::string& kind) {
@@ -115,7 +115,7 @@
           return Fail(ErrorKind::kNotFound,
                       "there is no " + kind + " '" + id + "'");
         }
-        // An account's keys go with it; nobody can use them any more.
+        // Removes the account's keys too, since they are unusable without it.
         if (kind == "account") {
           std::erase_if(wanted.keys, [&](const auto& key) {
             return key.second.account.Text() == id;
@@ -143,7 +143,7 @@
   return hash;
 }
 
-// A key that nobody can guess, from the system's own source of randomness.
+// Makes an unguessable API key from the system's random source.
 std::string MakeKey() {
   static constexpr std::string_view kDigits = "0123456789abcdef";
   std::random_device random;
@@ -210,7 +210,8 @@
   return true;
 }
 
-// The one key that a hash's start names.
+// The hash of the key that a prefix of the hash identifies. kBadRequest if the
+// prefix is too short or ambiguous, kNotFound if no key has it.
 Result<std::string> FindKey(const Configuration& configuration,
                             const std::string& start) {
   if (start.size() < kLeastPrefix) {
--- a/packages/ctl/request_trace.cc
+++ b/packages/ctl/request_trace.cc
@@ -15,12 +15,13 @@
 constexpr std::string_view kIngressPart = "forward";
 constexpr std::string_view kSchedulerPart = "relay";
 
-// What a line says of the request's course.
+// The kind of event that a log line reports.
 enum class LineKind { kOther, kForwarded, kSent, kAnswered, kIngressEnd };
 
-// How a kind of line is told. {name} stands for a field, {host} for the line's
-// host. A part in brackets is left out if one of its fields is missing or
-// empty. `stays_at` is where the request is until its next line.
+// Template for the description of log lines with this part and message. {name}
+// is replaced by a field and {host} by the line's host. Text in brackets is
+// omitted if one of its fields is missing or empty. `stays_at` describes where
+// the request is until its next line.
 struct LineRow {
   std::string_view part;
   std::string_view message;
@@ -112,7 +113,8 @@
   return row == nullptr ? LineKind::kOther : row->kind;
 }
 
-// A template without brackets, filled in; `missing` if a field is.
+// Expands a template without brackets. Sets `missing` if a field is missing or
+// empty.
 std::string FillIn(std::string_view text,
                    const LogEntry& entry,
                    bool& missing) {
@@ -148,13 +150,14 @@
   return out;
 }
 
-// Text of a caller may hold sequences that control a terminal.
+// Replaces control characters: text from callers may contain terminal escape
+// sequences.
 std::string Printable(std::string text) {
   std::ranges::replace_if(text, [](char c) { return g_ascii_iscntrl(c); }, ' ');
   return text;
 }
 
-// Unix milliseconds of a line's time; nullopt if it is none.
+// Converts an ISO 8601 time to Unix milliseconds; nullopt if it is invalid.
 std::optional<int64_t> ParseTime(const std::string& text) {
   g_autoptr(GDateTime) time =
       g_date_time_new_from_iso8601(text.c_str(), nullptr);
@@ -190,7 +193,8 @@
   return entry;
 }
 
-// Reads a line of up to `most` bytes; the rest of a longer one is skipped.
+// Reads a line and keeps its first `most` bytes. Returns false at the end of
+// the stream.
 bool ReadBounded(std::istream& in, size_t most, std::string& line) {
   line.clear();
   std::streambuf* bytes = in.rdbuf();
@@ -207,13 +211,14 @@
   return true;
 }
 
-// A line's time of day, without the date.
+// The time of a line without its date.
 std::string_view TimeOfDay(const LogEntry& entry) {
   const std::string_view time = entry.time;
   return time.substr(std::min(time.find('T') + 1, time.size()));
 }
 
-// The order of lines of the same millisecond on different hosts.
+// Rank of a line among those of the same millisecond: the first forward of an
+// ingress host, then lines of other parts, then other lines of ingress hosts.
 int OrderWithin(const LogEntry& entry) {
   if (KindOf(entry) == LineKind::kForwarded && entry.At("sends") == "1") {
     return 0;
@@ -283,8 +288,8 @@
   return any_ours || strange.count == 0;
 }
 
-// Only lines that name the request are parsed; of the others it is enough to
-// see that they begin like a host's.
+// Parses only lines that contain the request's id; other lines are only checked
+// for the start and the end of a JSON log line.
 bool RequestTrace::ReadLine(const std::string& host, std::string_view line) {
   constexpr std::string_view kBegin = "{\"time\":\"";
   const size_t begin = line.find(kBegin);
@@ -319,8 +324,9 @@
   });
 }
 
-// Schedulers answer ingress hosts, so an ingress host's last line tells whose
-// answer the caller got. Times of different hosts needn't agree for that.
+// Schedulers answer through the ingress host, so the last line of the ingress
+// host determines which scheduler's answer reached the caller. This does not
+// depend on the clocks of different hosts being in step.
 const LogEntry* RequestTrace::End() const {
   const auto last = [this](const auto& matches) {
     const auto found = std::ranges::find_if(this->entries.rbegin(),
@@ -341,7 +347,7 @@
              (ingress == nullptr || entry.host == ingress->At("scheduler"));
     });
   }
-  // A caller may repeat a request at another host.
+  // A caller may retry a request at another host; the latest attempt counts.
   const LogEntry* latest = forwarded != nullptr ? forwarded : ingress;
   const bool direct_is_later =
       direct != nullptr &&
@@ -366,7 +372,7 @@
   }
   std::string text = "\"" + std::string(outcome) + "\", by " + end->host +
                      " as " + std::string(end->Role()) + ". ";
-  // Hosts give these statuses only if no endpoint ran the request.
+  // Hosts answer with these statuses only if no endpoint ran the request.
   const bool not_run = outcome.starts_with("503") ||
                        outcome.starts_with("429") ||
                        (end->part == kIngressPart && end->At("sends") == "0");
@@ -397,7 +403,8 @@
   return stays;
 }
 
-// Schedulers that have the request by a line of another host, and no own line.
+// Schedulers to which a line says that the request was forwarded, and of which
+// there is no line.
 std::vector<std::string> RequestTrace::MissingHosts() const {
   std::set<std::string> missing;
   for (const LogEntry& entry : this->entries) {
@@ -442,7 +449,7 @@
     out << this->dropped << " further lines were left out.\n";
   }
   std::string text = out.str();
-  text.pop_back();  // the output ends the last line
+  text.pop_back();  // Output::Line() adds the last newline
   return text;
 }
 
--- a/packages/ctl/request_trace.h
+++ b/packages/ctl/request_trace.h
@@ -1,15 +1,15 @@
-// What happened to one request, read from the structured log lines of relay
-// hosts.
+// Reconstructs what happened to one request from the structured log lines
+// (JSON) of relay hosts.
 //
 //   RequestTrace trace("72adbe3f3c42dcf2");
-//   trace.Read("front-1", stream);     // once for each host
+//   trace.Read("front-1", stream);     // once per log
 //   trace.Finish();
 //   out << trace.Text();
 //
 // Index
-//   LogEntry       one line about the request
-//   ForeignLines   lines of an input that no host wrote
-//   RequestTrace   reads the inputs, and explains the request
+//   LogEntry       one log line about the request
+//   SkippedLines   lines of an input that are not log lines of a relay host
+//   RequestTrace   reads the logs and reports the course of the request
 
 #pragma once
 
@@ -25,48 +25,51 @@
 
 namespace hickorystand {
 
-// One line about the request.
+// One log line about the request.
 struct LogEntry {
   std::string time;  // UTC with milliseconds, as in 2026-01-31T12:00:00.000Z
   int64_t unix_ms = 0;
-  size_t place = 0;  // among all lines about the request, as read
+  size_t place = 0;  // index among the entries in the order of reading
   std::string host;
   std::string part;
   std::string message;
   std::vector<std::pair<std::string, std::string>> fields;
 
-  // A field's value; empty if there is none.
+  // The value of a field; empty if the line doesn't have it.
   std::string_view At(std::string_view name) const;
 
-  // What the host was for the request: "ingress" or "scheduler"; "host" for
-  // lines of other parts.
+  // The role in which the host wrote the line: "ingress" or "scheduler"; "host"
+  // for lines of other log parts.
   std::string_view Role() const;
 };
 
-// Lines of an input that no host wrote.
+// Counts the lines of an input that are not log lines of a relay host.
 struct ForeignLines {
   std::string input;
   int64_t count = 0;
-  int64_t first = 0;  // its number, from 1
+  int64_t first = 0;  // line number of the first, from 1
 
   bool operator==(const ForeignLines&) const = default;
 };
 
+// Collects the log lines of one request and derives its outcome. Times are in
+// milliseconds, by the clock of the host that wrote the line.
 class RequestTrace {
  public:
-  // Lines that are kept of one request, and the length up to which a line is
-  // read. They bound the memory that inputs of any size take.
+  // Number of lines that are kept, and bytes of a line that are read. They
+  // bound the memory that inputs of any size take.
   static constexpr size_t kMostEntries = 1000;
   static constexpr size_t kLongestLine = size_t{16} << 10;
 
   explicit RequestTrace(std::string request) : request(std::move(request)) {}
 
-  // Reads lines of a host, up to the end. A file name before a line's JSON
-  // object, as grep writes it, names the host of this line instead. False if
-  // the input has lines, but none of a host.
+  // Reads the log of `host` until the end of the stream. If a line has a file
+  // name before its JSON object, as in the output of grep, then the host of
+  // this line is the one the file is named after. Returns false if the input
+  // has lines, but no log line of a relay host.
   bool Read(const std::string& host, std::istream& in);
 
-  // Orders what was read by time. To be called once, after the last Read().
+  // Sorts the lines by time. Call once, after the last Read().
   void Finish();
 
   bool Empty() const { return this->entries.empty(); }
@@ -74,34 +77,38 @@
   const std::vector<ForeignLines>& Foreign() const { return this->foreign; }
   int64_t Dropped() const { return this->dropped; }
 
-  // The line that ended the request for its caller; null if there is none.
+  // The line of the answer or event that ended the request for its caller; null
+  // if there is none.
   const LogEntry* End() const;
 
-  // How the request ended, by which host, and whether an endpoint ran it.
+  // States how the request ended, at which host, and at which endpoints it was
+  // sent to run.
   std::string Outcome() const;
 
-  // Where the request was, and for how many milliseconds, in order.
+  // The places where the request was and the milliseconds spent at each, in
+  // order of time.
   std::vector<std::pair<std::string, int64_t>> Stays() const;
 
-  // The whole, for a person or as a document.
+  // The full report, as text or as a JSON document.
   std::string Text() const;
   JsonWriter Document() const;
 
  private:
-  // Whether a host wrote the line.
+  // Returns whether this is a log line of a relay host; stores it if it is
+  // about the request.
   bool ReadLine(const std::string& host, std::string_view line);
   std::vector<std::string> MissingHosts() const;
 
   std::string request;
   std::vector<LogEntry> entries;
   std::vector<ForeignLines> foreign;
-  int64_t dropped = 0;  // lines about the request beyond the bound
+  int64_t dropped = 0;  // lines about the request beyond kMaxEntries
 };
 
-// The host that a log file is named after: "front-1" of "logs/front-1.log".
+// The host after which a log file is named: "front-1" for "logs/front-1.log".
 std::string HostOfLog(std::string_view path);
 
-// A line in plain words.
+// Describes a log line in a sentence for operators.
 std::string Explain(const LogEntry& entry);
 
 }  // namespace hickorystand
--- a/packages/ctl/session.cc
+++ b/packages/ctl/session.cc
@@ -178,8 +178,9 @@
   if (this->settings.store.empty()) {
     return tl::unexpected(this->Read().error());
   }
-  // Hosts hold a higher revision than the service after it was put back to a
-  // backup; the change must go above theirs.
+  // After the service is restored from a backup, hosts hold a higher revision
+  // than the service. The new revision must be higher than theirs, since hosts
+  // ignore lower ones.
   const int64_t highest =
       this->Admin().HasHosts() ? this->Admin().Status().HighestRevision() : 0;
   const std::string token = RandomToken();
--- a/packages/ctl/session.h
+++ b/packages/ctl/session.h
@@ -1,11 +1,16 @@
-// What every command of the operators' client works with: its output, the
-// key-value service, the entry hosts, and a change of the configuration from
-// its start to its being in force.
+// What the commands of hickoryctl share: output, access to the key-value
+// service and to the hosts, and configuration changes, from the write to the
+// service until the new revision is in force at all hosts.
+//
+//   Output output(std::cout, std::cerr, false);
+//   CtlSession session(settings, output);
+//   const auto result = session.ChangeAndWait(edit, true);
 //
 // Index
-//   CtlSettings   where the service and the hosts are
-//   Output        what is printed, as text or as JSON
-//   CtlSession       one run of the client
+//   CtlSettings     addresses, token, author and timeouts
+//   Output          prints text or JSON
+//   InForceReport   which hosts have a revision in force
+//   CtlSession      one run of hickoryctl
 
 #pragma once
 
@@ -23,22 +28,22 @@
 
 namespace hickorystand {
 
-// The settings of the client: the schema of its INI file.
+// The schema of the client's INI file.
 const std::vector<SettingRule>& CtlSettingRules();
 
-// Where the service and the hosts are.
+// The settings of one run.
 struct CtlSettings {
   std::string store_plugin = "etcd-json";
   std::vector<SocketAddress> store;
   std::vector<SocketAddress> admin;
   std::string admin_token;
-  std::string author;  // who is named as having made a change
-  Duration timeout = std::chrono::seconds(2);  // of one call
-  Duration wait = std::chrono::seconds(15);    // for a change to be in force
+  std::string author;                          // recorded with each change
+  Duration timeout = std::chrono::seconds(2);  // of one request
+  Duration wait = std::chrono::seconds(15);    // until in force
 };
 
-// What a command prints. In JSON form all goes into one document on `out`, and
-// only that; in text form lines go out as they come.
+// Prints the output of a command. In JSON mode `out` receives a single document
+// and nothing else; in text mode lines are printed and flushed immediately.
 class Output {
  public:
   Output(std::ostream& out, std::ostream& error, bool json)
@@ -46,13 +51,13 @@
 
   bool IsJson() const { return this->json; }
 
-  // A line of text; nothing in JSON form.
+  // Prints a line of text; ignored in JSON mode.
   void Line(const std::string& text);
 
-  // A line for a person, on the error stream in both forms.
+  // Prints a line to the error stream, in both modes.
   void Notice(const std::string& text);
 
-  // The document; nothing in text form.
+  // Prints the JSON document; ignored in text mode.
   void Document(const JsonWriter& document);
 
   std::ostream& Out() { return this->out; }
@@ -63,23 +68,24 @@
   bool json;
 };
 
-// How a change came into force.
+// Which hosts have a revision in force.
 struct InForceReport {
   struct DataCentre {
     DataCentreId id;
     int64_t hosts = 0;
-    std::vector<HostId> behind;  // still at a lower revision
+    std::vector<HostId> behind;  // at a lower revision
   };
 
   int64_t revision = 0;
   std::vector<DataCentre> data_centres;
   std::vector<SocketAddress> unreachable;
 
-  // Everybody who answered has it, and everybody answered.
+  // True if every host answered and has the revision.
   bool Everywhere() const;
 };
 
-// One run of the client.
+// One run of hickoryctl. Connects to the key-value service and to the hosts on
+// first use. All calls block.
 class CtlSession {
  public:
   CtlSession(CtlSettings settings, Output& output);
@@ -87,20 +93,22 @@
   Output& Out() { return this->output; }
   AdminClient& Admin();
 
-  // The configuration as it lies in the service.
+  // Reads the configuration from the key-value service. kBadSetting if no
+  // address is configured, kPlatformDown if the service can't be read.
   Result<StoredConfiguration> Read();
 
-  // Changes the configuration; a lost reply is tried again until it is certain
-  // whether the change took effect.
+  // Changes the configuration. If a reply is lost, retries with backoff until
+  // it is certain whether the change was applied.
   Result<ConfigurationChange::Applied> Change(ConfigurationChange::Edit edit);
 
-  // As Change(), then says for each data centre when it is in force, unless not
-  // wanted, and prints the whole. kTimeout if it isn't in force everywhere in
-  // time; the change stands nevertheless.
+  // Calls Change(), and with `wait` also WaitInForce(); prints the changes and
+  // the result. kTimeout if the revision is not in force at all hosts within
+  // CtlSettings::wait; the change is not undone then.
   Result<bool> ChangeAndWait(const ConfigurationChange::Edit& edit, bool wait);
 
-  // Polls all hosts until they have a revision, printing each data centre as it
-  // gets there.
+  // Polls all hosts until the revision is in force at each of them, or
+  // CtlSettings::wait has passed. Prints a line for each data centre once all
+  // its hosts that answer have the revision.
   InForceReport WaitInForce(int64_t revision);
 
  private:
@@ -113,10 +121,11 @@
   std::unique_ptr<AdminClient> admin;
 };
 
-// A text that no other run of any program makes.
+// A random UUID, which identifies the change of this run among those of all
+// other runs and programs.
 std::string RandomToken();
 
-// Writes changes as a JSON array. A key's hash is shortened.
+// Writes changes as a JSON array. The hashes of API keys are shortened.
 void WriteChanges(const std::vector<RecordChange>& changes, JsonWriter& out);
 
 }  // namespace hickorystand
