--- a/packages/ctl/configuration_commands.cc
+++ b/packages/ctl/configuration_commands.cc
@@ -176,7 +176,7 @@
 
 std::vector<Command> ConfigurationCommands() {
   const std::vector<CommandOption> prune = {
-      {"prune", "also remove records that stand in no file"}};
+      {"prune", "also remove records that are in no file"}};
   std::vector<CommandOption> apply = prune;
   apply.push_back({"no-wait", "don't wait until it is in force"});
   return {
@@ -191,7 +191,8 @@
       {.name = "diff",
        .arguments = "BASE [OVERLAY...]",
        .summary = "Show what apply would change.",
-       .help = "Compares the files with what lies in the key-value service.",
+       .help = "Compares the files with the configuration in the key-value "
+               "service.",
        .examples = {"hickoryctl diff base.ini dc1.ini dc2.ini"},
        .least_arguments = 1,
        .options = prune,
@@ -201,7 +202,7 @@
        .summary = "Put the files in force.",
        .help = "Changes the configuration in one step, and says for each data "
                "centre when it is in force. If somebody else changed it "
-               "meanwhile, nothing is changed and you are told who changed "
+               "meanwhile, nothing is changed and the error names who changed "
                "what. Keys of accounts are left as they are.",
        .examples = {"hickoryctl apply base.ini dc1.ini dc2.ini",
                     "hickoryctl apply base.ini dc1.ini --prune --no-wait"},
@@ -212,10 +213,10 @@
        .arguments = "",
        .summary = "Print the configuration in the service.",
        .help = "Prints every record with all its fields, without keys. With "
-               "--site only what matters at that site.",
+               "--site only the records that apply to that site.",
        .examples = {"hickoryctl show --site dc1"},
        .most_arguments = 0,
-       .options = {{"site", "only what matters at this site", true}},
+       .options = {{"site", "only records that apply to this site", true}},
        .run = &Show},
       {.name = "schema",
        .arguments = "",
--- a/packages/ctl/ctl.cc
+++ b/packages/ctl/ctl.cc
@@ -31,7 +31,7 @@
   --config FILE            INI file with [store] addresses, [admin] addresses
                            and token_file, [client] author, timeout and wait
   --store IP:PORT;...      addresses of the key-value service
-  --admin IP:PORT;...      administration addresses of all entry hosts
+  --admin IP:PORT;...      administration addresses of all hosts
   --admin-token-file FILE  file that holds the administration token
   --json                   print one JSON document
   --help                   this page, or with a command that command's own
@@ -41,7 +41,7 @@
   hickoryctl diff base.ini dc1.ini           what would change?
   hickoryctl apply base.ini dc1.ini          put it in force everywhere
   hickoryctl key add acme                    a key for a client account
-  hickoryctl status --watch                  how does the fleet fare?
+  hickoryctl status --watch                  what is the state of the fleet?
 
 Exit codes: 0 done; 1 fault of the program; 2 wrong input; 3 not allowed; 4 not
 found; 5 conflict with another change; 6 refused; 7 timed out or outcome
@@ -52,7 +52,7 @@
 const CommandOption kCommonOptions[] = {
     {"config", "INI file with the client's settings", true},
     {"store", "addresses of the key-value service", true},
-    {"admin", "administration addresses of all entry hosts", true},
+    {"admin", "administration addresses of all hosts", true},
     {"admin-token-file", "file that holds the administration token", true},
     {"json", "print one JSON document"},
     {"help", "explain the command"},
--- a/packages/ctl/fleet_commands.cc
+++ b/packages/ctl/fleet_commands.cc
@@ -280,7 +280,7 @@
         return g_ascii_isalnum(c) || c == '-' || c == '_' || c == '.';
       })) {
     return Fail(ErrorKind::kBadRequest,
-                "'" + request + "' is no id of a request");
+                "'" + request + "' is not a valid request id");
   }
   const FleetStatus fleet = session.Admin().Status();
   JsonWriter out;
@@ -314,8 +314,9 @@
   }
   session.Out().Document(out.EndObject().EndObject());
   if (!found) {
-    return Fail(missing.empty() ? ErrorKind::kNotFound : ErrorKind::kTimeout,
-                "no host that answered remembers request '" + request + "'");
+    return Fail(
+        missing.empty() ? ErrorKind::kNotFound : ErrorKind::kTimeout,
+        "no host that answered has a record of request '" + request + "'");
   }
   return true;
 }
@@ -324,9 +325,10 @@
 
 Result<bool> NeedHosts(CtlSession& session) {
   if (!session.Admin().HasHosts()) {
-    return Fail(ErrorKind::kBadSetting,
-                "no entry host is set; give --admin IP:PORT;IP:PORT, or "
-                "[admin] addresses in the file of --config");
+    return Fail(
+        ErrorKind::kBadSetting,
+        "no administration address of a host is set; give --admin "
+        "IP:PORT;IP:PORT, or [admin] addresses in the file of --config");
   }
   return true;
 }
@@ -337,8 +339,9 @@
        .arguments = "",
        .summary = "Where to look first: leases, revisions, endpoints, "
                   "refusals, and what is cut off.",
-       .help = "Asks every host. A host that is BEHIND has not got the newest "
-               "revision yet; one that is UNREACHABLE did not answer.",
+       .help =
+           "Asks every host. A host that is BEHIND does not have the newest "
+           "revision yet; one that is UNREACHABLE did not answer.",
        .examples = {"hickoryctl status", "hickoryctl status --watch"},
        .most_arguments = 0,
        .options = {{"watch", "refresh in place until interrupted"}},
@@ -346,8 +349,9 @@
       {.name = "drain",
        .arguments = "HOST",
        .summary = "Take a host out of service without cutting off a request.",
-       .help = "The host takes no new request, finishes what runs, hands over "
-               "what it knows and gives up its lease.",
+       .help =
+           "The host accepts no new request, finishes what runs, hands over "
+           "its state and releases its lease.",
        .examples = {"hickoryctl drain dc1-host2"},
        .least_arguments = 1,
        .most_arguments = 1,
@@ -359,10 +363,11 @@
            "Without logs, asks every stand-alone host; the id is in the "
            "X-Request-Id header of the answer.\n\n"
            "With logs of relay hosts (JSON lines), puts the lines about the "
-           "request in order and says what happened, where it was, and who "
-           "ended it why. Give the logs of all hosts, since the caller may "
+           "request in order and says what happened, where it was, and which "
+           "host ended it and why. Give the logs of all hosts, since the "
+           "caller may "
            "have reached any of them. LOG is FILE, whose name without "
-           "\".log\" is taken for the host's, HOST=FILE, or - for standard "
+           "\".log\" is the host's name, HOST=FILE, or - for standard "
            "input. A line may begin with its host's name, as grep writes it. "
            "Times are those of each host's own clock.",
        .examples = {"hickoryctl why 7b1c-204",
--- a/packages/ctl/limit_commands.cc
+++ b/packages/ctl/limit_commands.cc
@@ -166,7 +166,7 @@
        .help = "Asks every host. 'used' counts what the host admitted within "
                "the last seconds, less what was not run; 'left' is what it may "
                "admit at once by itself, below 0 after a large request. A host "
-               "without a share admits only what others give it.",
+               "without a share admits only what other hosts grant it.",
        .examples = {"hickoryctl account use acme",
                     "hickoryctl account use acme --json"},
        .least_arguments = 1,
--- a/packages/ctl/record_commands.cc
+++ b/packages/ctl/record_commands.cc
@@ -317,11 +317,12 @@
       {.name = "key withdraw",
        .arguments = "HASH",
        .summary = "Withdraw a key, and say where it no longer works.",
-       .help = "HASH is what 'key list' shows. Says for each data centre when "
-               "the key has stopped working, and names the hosts that can't be "
-               "reached: there it works on until they hear of it, or for their "
-               "site's cut_off_key_limit at most. Requests that run already "
-               "finish.",
+       .help =
+           "HASH is what 'key list' shows. Says for each data centre when "
+           "the key has stopped working, and names the hosts that can't be "
+           "reached: there it still works until they receive the change, or "
+           "for their site's cut_off_key_limit at most. Requests that run "
+           "already finish.",
        .examples = {"hickoryctl key withdraw 3f9a02c41b7d"},
        .least_arguments = 1,
        .most_arguments = 1,
--- a/packages/ctl/session.cc
+++ b/packages/ctl/session.cc
@@ -83,7 +83,7 @@
       {.section = "admin",
        .key = "addresses",
        .type = SettingType::kAddresses,
-       .help = "administration addresses of all entry hosts"},
+       .help = "administration addresses of all hosts"},
       {.section = "admin",
        .key = "token_file",
        .help = "file that holds the administration token"},
