--- a/packages/ctl/admin_client.cc
+++ b/packages/ctl/admin_client.cc
@@ -84,8 +84,8 @@
 FleetStatus AdminClient::Status() {
   FleetStatus status;
   for (const AdminAnswer& answer : this->AskAll("GET", "/admin/status")) {
-    const bool sound = answer.body && answer.body->At("host").IsText();
-    if (!sound) {
+    const bool valid = answer.body && answer.body->At("host").IsText();
+    if (!valid) {
       status.unreachable.push_back(answer.address);
       status.reasons.push_back(answer.body ? "the answer is no status"
                                            : answer.body.error().message);
--- a/packages/ctl/ctl.cc
+++ b/packages/ctl/ctl.cc
@@ -90,13 +90,14 @@
 
 // Writes the bash completion script, generated from the table of commands.
 void WriteCompletion(std::ostream& out) {
-  std::string firsts;
+  std::string first_words;
   std::ostringstream cases;
   for (const Command& command : AllCommands()) {
     const size_t space = command.name.find(' ');
     const std::string first = command.name.substr(0, space);
-    if ((" " + firsts + " ").find(" " + first + " ") == std::string::npos) {
-      firsts += (firsts.empty() ? "" : " ") + first;
+    if ((" " + first_words + " ").find(" " + first + " ") ==
+        std::string::npos) {
+      first_words += (first_words.empty() ? "" : " ") + first;
     }
     if (space != std::string::npos) {
       cases << "    " << first << ") words=\"$words "
@@ -113,7 +114,7 @@
       << cases.str()
       << "  esac\n"
          "  if [ \"$COMP_CWORD\" -eq 1 ]; then words=\""
-      << firsts
+      << first_words
       << "\"; fi\n"
          "  if [ \"$COMP_CWORD\" -ne 2 ] && [ \"$COMP_CWORD\" -ne 1 ]; then "
          "words=; fi\n"
@@ -161,8 +162,8 @@
   if (!read) {
     return tl::unexpected(read.error());
   }
-  const auto either = [&](const char* option, const char* section,
-                          const char* key) {
+  const auto option_or_setting = [&](const char* option, const char* section,
+                                     const char* key) {
     return invocation.Has(option) ? invocation.Value(option)
                                   : read->Text(section, key);
   };
@@ -170,15 +171,15 @@
                        .author = read->Text("client", "author"),
                        .timeout = read->Length("client", "timeout"),
                        .wait = read->Length("client", "wait")};
-  auto store = ReadAddresses(either("store", "store", "addresses"));
-  auto admin = ReadAddresses(either("admin", "admin", "addresses"));
+  auto store = ReadAddresses(option_or_setting("store", "store", "addresses"));
+  auto admin = ReadAddresses(option_or_setting("admin", "admin", "addresses"));
   if (!store || !admin) {
     return tl::unexpected(store ? admin.error() : store.error());
   }
   settings.store = std::move(*store);
   settings.admin = std::move(*admin);
   if (const std::string path =
-          either("admin-token-file", "admin", "token_file");
+          option_or_setting("admin-token-file", "admin", "token_file");
       !path.empty()) {
     auto token = ReadToken(path);
     if (!token) {
@@ -265,12 +266,12 @@
 std::optional<std::string> StrangeOption(const Command& command,
                                          const cxxopts::ParseResult& parsed) {
   for (const auto& given : parsed.arguments()) {
-    const auto takes = [&](const auto& options) {
+    const auto contains = [&](const auto& options) {
       return std::ranges::find(options, given.key(), &CommandOption::name) !=
              std::ranges::end(options);
     };
-    if (given.key() != "words" && !takes(kCommonOptions) &&
-        !takes(command.options)) {
+    if (given.key() != "words" && !contains(kCommonOptions) &&
+        !contains(command.options)) {
       return given.key();
     }
   }
@@ -283,16 +284,16 @@
                std::ostream& error) {
   const bool json = invocation.Has("json");
   const size_t count = invocation.arguments.size();
-  const auto strange = StrangeOption(command, *invocation.options);
-  if (strange || count < command.least_arguments ||
+  const auto unsupported = StrangeOption(command, *invocation.options);
+  if (unsupported || count < command.least_arguments ||
       count > command.most_arguments) {
-    return Report(
-        {ErrorKind::kBadRequest,
-         (strange ? "'" + command.name + "' takes no option --" + *strange
-                  : "the arguments are " + command.arguments) +
-             "; see 'hickoryctl " + command.name + " --help'",
-         {}},
-        json, out, error);
+    return Report({ErrorKind::kBadRequest,
+                   (unsupported ? "'" + command.name + "' takes no option --" +
+                                      *unsupported
+                                : "the arguments are " + command.arguments) +
+                       "; see 'hickoryctl " + command.name + " --help'",
+                   {}},
+                  json, out, error);
   }
   auto settings = ReadSettings(invocation);
   if (!settings) {
--- a/packages/ctl/request_trace.cc
+++ b/packages/ctl/request_trace.cc
@@ -273,19 +273,19 @@
 
 bool RequestTrace::Read(const std::string& host, std::istream& in) {
   std::string line;
-  ForeignLines strange{.input = host};
-  bool any_ours = false;
+  ForeignLines skipped{.input = host};
+  bool any_recognised = false;
   for (int64_t number = 1; ReadBounded(in, kLongestLine, line); ++number) {
-    const bool ours = this->ReadLine(host, line);
-    any_ours = any_ours || ours;
-    if (!ours && !line.empty()) {
-      strange.first = strange.count++ == 0 ? number : strange.first;
+    const bool recognised = this->ReadLine(host, line);
+    any_recognised = any_recognised || recognised;
+    if (!recognised && !line.empty()) {
+      skipped.first = skipped.count++ == 0 ? number : skipped.first;
     }
   }
-  if (strange.count > 0) {
-    this->foreign.push_back(strange);
+  if (skipped.count > 0) {
+    this->foreign.push_back(skipped);
   }
-  return any_ours || strange.count == 0;
+  return any_recognised || skipped.count == 0;
 }
 
 // Parses only lines that contain the request's id; other lines are only checked
@@ -362,8 +362,8 @@
            "host is missing here, or its line was dropped "
            "(log_lines_dropped_total).";
   }
-  const std::string_view told = end->At("outcome");
-  const std::string_view outcome = told.empty() ? end->message : told;
+  const std::string_view stated = end->At("outcome");
+  const std::string_view outcome = stated.empty() ? end->message : stated;
   std::set<std::string_view> sent_to;
   for (const LogEntry& entry : this->entries) {
     if (KindOf(entry) == LineKind::kSent && entry.At("step") == "run") {
--- a/packages/ctl/session.cc
+++ b/packages/ctl/session.cc
@@ -241,12 +241,12 @@
 InForceReport CtlSession::WaitInForce(int64_t revision) {
   const BootClock clock;
   const Instant start = clock.Now();
-  std::set<DataCentreId> told;
+  std::set<DataCentreId> reported;
   while (true) {
     const InForceReport report = MakeReport(this->Admin().Status(), revision);
     const Duration took = clock.Now() - start;
     for (const auto& centre : report.data_centres) {
-      if (centre.behind.empty() && told.insert(centre.id).second) {
+      if (centre.behind.empty() && reported.insert(centre.id).second) {
         this->output.Line(centre.id.Text() + ": in force at " +
                           std::to_string(centre.hosts) + " hosts after " +
                           MillisecondsText(took) + " ms");
