--- a/packages/ctl/record_commands.cc
+++ b/packages/ctl/record_commands.cc
@@ -14,8 +14,11 @@
 namespace {
 
 constexpr int kKeyBytes = 32;
-constexpr size_t kShownHash = 12;   // characters; enough to tell keys apart
-constexpr size_t kLeastPrefix = 8;  // characters of a hash given as argument
+// Characters of a key's hash that lists show; enough to tell keys apart.
+constexpr size_t kShownHash = 12;
+
+// Characters that a hash prefix given as an argument must have at least.
+constexpr size_t kLeastPrefix = 8;
 
 // Parses FIELD=VALUE arguments into a record.
 Result<bool> ReadFields(const std::vector<std::string>& arguments,
