--- a/packages/ctl/configuration_commands.cc
+++ b/packages/ctl/configuration_commands.cc
@@ -1,4 +1,4 @@
-// Commands about the configuration as a whole.
+// Commands on the configuration as a whole: check, diff, apply, show, schema.
 
 #include <algorithm>
 
@@ -9,7 +9,7 @@
 namespace hickorystand {
 namespace {
 
-// Reads base file and overlays, and prints their warnings.
+// Reads the base file and the overlays, and prints warnings.
 Result<ConfigurationInput> ReadFiles(CtlSession& session,
                                      const Invocation& invocation) {
   std::vector<ConfigurationFile> files;
@@ -31,9 +31,10 @@
   return input;
 }
 
-// What is to be in force: what the files say, with the keys in force. Records
-// that no file names stay, unless they are to be pruned; an operator's file may
-// be older than what a colleague created at the command line.
+// Merges the configuration of the files with the API keys in force. Records
+// that are in no file are retained and listed in `kept`, unless `prune` is set:
+// the files may be older than records that another operator created at the
+// command line.
 Configuration Combine(const Configuration& files,
                       const Configuration& in_force,
                       bool prune,
@@ -49,9 +50,9 @@
     }
     if (key && prune &&
         !files.accounts.contains(AccountId(record.fields.at("account")))) {
-      continue;  // goes with its account
+      continue;  // removed with its account
     }
-    // What lies in the service was checked when it was read.
+    // Can't fail: the stored configuration was checked when it was read.
     static_cast<void>(PutRecord(wanted, record));
     if (!key) {
       kept.push_back(record.Name());
@@ -126,7 +127,7 @@
   return true;
 }
 
-// Whether a record matters at a site.
+// Whether a record applies to a site.
 bool StandsAt(const Record& record, const std::string& site) {
   if (record.kind == "site") {
     return record.id == site;
@@ -175,7 +176,7 @@
 
 std::vector<Command> ConfigurationCommands() {
   const std::vector<CommandOption> prune = {
-      {"prune", "also remove records that stand in no file"}};
+      {"prune", "also remove records that are in no file"}};
   std::vector<CommandOption> apply = prune;
   apply.push_back({"no-wait", "don't wait until it is in force"});
   return {
@@ -190,7 +191,8 @@
       {.name = "diff",
        .arguments = "BASE [OVERLAY...]",
        .summary = "Show what apply would change.",
-       .help = "Compares the files with what lies in the key-value service.",
+       .help = "Compares the files with the configuration in the key-value "
+               "service.",
        .examples = {"hickoryctl diff base.ini dc1.ini dc2.ini"},
        .least_arguments = 1,
        .options = prune,
@@ -200,7 +202,7 @@
        .summary = "Put the files in force.",
        .help = "Changes the configuration in one step, and says for each data "
                "centre when it is in force. If somebody else changed it "
-               "meanwhile, nothing is changed and you are told who changed "
+               "meanwhile, nothing is changed and the error names who changed "
                "what. Keys of accounts are left as they are.",
        .examples = {"hickoryctl apply base.ini dc1.ini dc2.ini",
                     "hickoryctl apply base.ini dc1.ini --prune --no-wait"},
@@ -211,10 +213,10 @@
        .arguments = "",
        .summary = "Print the configuration in the service.",
        .help = "Prints every record with all its fields, without keys. With "
-               "--site only what matters at that site.",
+               "--site only the records that apply to that site.",
        .examples = {"hickoryctl show --site dc1"},
        .most_arguments = 0,
-       .options = {{"site", "only what matters at this site", true}},
+       .options = {{"site", "only records that apply to this site", true}},
        .run = &Show},
       {.name = "schema",
        .arguments = "",
--- a/packages/ctl/ctl.cc
+++ b/packages/ctl/ctl.cc
@@ -31,7 +31,7 @@
   --config FILE            INI file with [store] addresses, [admin] addresses
                            and token_file, [client] author, timeout and wait
   --store IP:PORT;...      addresses of the key-value service
-  --admin IP:PORT;...      administration addresses of all entry hosts
+  --admin IP:PORT;...      administration addresses of all hosts
   --admin-token-file FILE  file that holds the administration token
   --json                   print one JSON document
   --help                   this page, or with a command that command's own
@@ -41,7 +41,7 @@
   hickoryctl diff base.ini dc1.ini           what would change?
   hickoryctl apply base.ini dc1.ini          put it in force everywhere
   hickoryctl key add acme                    a key for a client account
-  hickoryctl status --watch                  how does the fleet fare?
+  hickoryctl status --watch                  what is the state of the fleet?
 
 Exit codes: 0 done; 1 fault of the program; 2 wrong input; 3 not allowed; 4 not
 found; 5 conflict with another change; 6 refused; 7 timed out or outcome
@@ -52,7 +52,7 @@
 const CommandOption kCommonOptions[] = {
     {"config", "INI file with the client's settings", true},
     {"store", "addresses of the key-value service", true},
-    {"admin", "administration addresses of all entry hosts", true},
+    {"admin", "administration addresses of all hosts", true},
     {"admin-token-file", "file that holds the administration token", true},
     {"json", "print one JSON document"},
     {"help", "explain the command"},
@@ -88,15 +88,16 @@
   }
 }
 
-// A completion script; every word comes from the table of commands.
+// Writes the bash completion script, generated from the table of commands.
 void WriteCompletion(std::ostream& out) {
-  std::string firsts;
+  std::string first_words;
   std::ostringstream cases;
   for (const Command& command : AllCommands()) {
     const size_t space = command.name.find(' ');
     const std::string first = command.name.substr(0, space);
-    if ((" " + firsts + " ").find(" " + first + " ") == std::string::npos) {
-      firsts += (firsts.empty() ? "" : " ") + first;
+    if ((" " + first_words + " ").find(" " + first + " ") ==
+        std::string::npos) {
+      first_words += (first_words.empty() ? "" : " ") + first;
     }
     if (space != std::string::npos) {
       cases << "    " << first << ") words=\"$words "
@@ -113,7 +114,7 @@
       << cases.str()
       << "  esac\n"
          "  if [ \"$COMP_CWORD\" -eq 1 ]; then words=\""
-      << firsts
+      << first_words
       << "\"; fi\n"
          "  if [ \"$COMP_CWORD\" -ne 2 ] && [ \"$COMP_CWORD\" -ne 1 ]; then "
          "words=; fi\n"
@@ -153,7 +154,7 @@
   return std::string(g_get_user_name()) + "@" + g_get_host_name();
 }
 
-// The client's settings: from its file, and then from options.
+// Reads the settings from the file of --config; options take precedence.
 Result<CtlSettings> ReadSettings(const Invocation& invocation) {
   const std::string file = invocation.Value("config");
   const auto read = file.empty() ? Settings::Parse("", "", CtlSettingRules())
@@ -161,8 +162,8 @@
   if (!read) {
     return tl::unexpected(read.error());
   }
-  const auto either = [&](const char* option, const char* section,
-                          const char* key) {
+  const auto option_or_setting = [&](const char* option, const char* section,
+                                     const char* key) {
     return invocation.Has(option) ? invocation.Value(option)
                                   : read->Text(section, key);
   };
@@ -170,15 +171,15 @@
                        .author = read->Text("client", "author"),
                        .timeout = read->Length("client", "timeout"),
                        .wait = read->Length("client", "wait")};
-  auto store = ReadAddresses(either("store", "store", "addresses"));
-  auto admin = ReadAddresses(either("admin", "admin", "addresses"));
+  auto store = ReadAddresses(option_or_setting("store", "store", "addresses"));
+  auto admin = ReadAddresses(option_or_setting("admin", "admin", "addresses"));
   if (!store || !admin) {
     return tl::unexpected(store ? admin.error() : store.error());
   }
   settings.store = std::move(*store);
   settings.admin = std::move(*admin);
   if (const std::string path =
-          either("admin-token-file", "admin", "token_file");
+          option_or_setting("admin-token-file", "admin", "token_file");
       !path.empty()) {
     auto token = ReadToken(path);
     if (!token) {
@@ -196,7 +197,8 @@
   return settings;
 }
 
-// Finds the command that the first words name, and takes them away.
+// Finds the command named by the first two words or the first word, and removes
+// its name from `words`. Null if there is no such command.
 const Command* TakeCommand(std::vector<std::string>& words) {
   for (const size_t length : {size_t{2}, size_t{1}}) {
     if (words.size() < length) {
@@ -234,7 +236,8 @@
   return answer.exit_code;
 }
 
-// All options of all commands; which of them a command takes is checked later.
+// Makes a parser of the options of all commands. RunCommand() checks whether
+// the command accepts the options given.
 cxxopts::Options MakeParser() {
   cxxopts::Options parser("hickoryctl");
   std::vector<std::string> known;
@@ -259,16 +262,16 @@
   return parser;
 }
 
-// The first option given that this command doesn't take.
+// The first option given that this command doesn't accept.
 std::optional<std::string> StrangeOption(const Command& command,
                                          const cxxopts::ParseResult& parsed) {
   for (const auto& given : parsed.arguments()) {
-    const auto takes = [&](const auto& options) {
+    const auto contains = [&](const auto& options) {
       return std::ranges::find(options, given.key(), &CommandOption::name) !=
              std::ranges::end(options);
     };
-    if (given.key() != "words" && !takes(kCommonOptions) &&
-        !takes(command.options)) {
+    if (given.key() != "words" && !contains(kCommonOptions) &&
+        !contains(command.options)) {
       return given.key();
     }
   }
@@ -281,16 +284,16 @@
                std::ostream& error) {
   const bool json = invocation.Has("json");
   const size_t count = invocation.arguments.size();
-  const auto strange = StrangeOption(command, *invocation.options);
-  if (strange || count < command.least_arguments ||
+  const auto unsupported = StrangeOption(command, *invocation.options);
+  if (unsupported || count < command.least_arguments ||
       count > command.most_arguments) {
-    return Report(
-        {ErrorKind::kBadRequest,
-         (strange ? "'" + command.name + "' takes no option --" + *strange
-                  : "the arguments are " + command.arguments) +
-             "; see 'hickoryctl " + command.name + " --help'",
-         {}},
-        json, out, error);
+    return Report({ErrorKind::kBadRequest,
+                   (unsupported ? "'" + command.name + "' takes no option --" +
+                                      *unsupported
+                                : "the arguments are " + command.arguments) +
+                       "; see 'hickoryctl " + command.name + " --help'",
+                   {}},
+                  json, out, error);
   }
   auto settings = ReadSettings(invocation);
   if (!settings) {
--- a/packages/ctl/limit_commands.cc
+++ b/packages/ctl/limit_commands.cc
@@ -1,4 +1,4 @@
-// Commands about the limits of client accounts: account use.
+// Commands on the limits of client accounts: account use.
 
 #include <algorithm>
 #include <limits>
@@ -13,7 +13,8 @@
 
 constexpr double kMillisecondsInSecond = 1000;
 
-// What one host says of the account. `limit` is absent if it knows of none.
+// One host's status of the account's limit. `limit` is absent if the host has
+// none in force for the account.
 struct HostUse {
   const FleetHost* host = nullptr;
   Json limits;
@@ -35,7 +36,8 @@
   return uses;
 }
 
-// The host with the newest configuration among those that know of a limit.
+// The entry with the newest configuration among the hosts that have a limit in
+// force; null if there is none.
 const HostUse* Newest(const std::vector<HostUse>& uses) {
   const HostUse* newest = nullptr;
   for (const HostUse& use : uses) {
@@ -164,7 +166,7 @@
        .help = "Asks every host. 'used' counts what the host admitted within "
                "the last seconds, less what was not run; 'left' is what it may "
                "admit at once by itself, below 0 after a large request. A host "
-               "without a share admits only what others give it.",
+               "without a share admits only what other hosts grant it.",
        .examples = {"hickoryctl account use acme",
                     "hickoryctl account use acme --json"},
        .least_arguments = 1,
--- a/packages/ctl/session.cc
+++ b/packages/ctl/session.cc
@@ -83,7 +83,7 @@
       {.section = "admin",
        .key = "addresses",
        .type = SettingType::kAddresses,
-       .help = "administration addresses of all entry hosts"},
+       .help = "administration addresses of all hosts"},
       {.section = "admin",
        .key = "token_file",
        .help = "file that holds the administration token"},
@@ -178,8 +178,9 @@
   if (this->settings.store.empty()) {
     return tl::unexpected(this->Read().error());
   }
-  // Hosts hold a higher revision than the service after it was put back to a
-  // backup; the change must go above theirs.
+  // After the service is restored from a backup, hosts hold a higher revision
+  // than the service. The new revision must be higher than theirs, since hosts
+  // ignore lower ones.
   const int64_t highest =
       this->Admin().HasHosts() ? this->Admin().Status().HighestRevision() : 0;
   const std::string token = RandomToken();
@@ -240,12 +241,12 @@
 InForceReport CtlSession::WaitInForce(int64_t revision) {
   const BootClock clock;
   const Instant start = clock.Now();
-  std::set<DataCentreId> told;
+  std::set<DataCentreId> reported;
   while (true) {
     const InForceReport report = MakeReport(this->Admin().Status(), revision);
     const Duration took = clock.Now() - start;
     for (const auto& centre : report.data_centres) {
-      if (centre.behind.empty() && told.insert(centre.id).second) {
+      if (centre.behind.empty() && reported.insert(centre.id).second) {
         this->output.Line(centre.id.Text() + ": in force at " +
                           std::to_string(centre.hosts) + " hosts after " +
                           MillisecondsText(took) + " ms");
