--- a/packages/kernel/backoff.h
+++ b/packages/kernel/backoff.h
@@ -1,4 +1,9 @@
-// How long to wait before the next try at something that is down.
+// Exponential backoff with jitter, for retries of an unavailable service.
+//
+//   Backoff backoff(std::chrono::milliseconds(50), std::chrono::seconds(1),
+//                   seed);
+//   next_attempt = clock.Now() + backoff.Next();  // after a failure
+//   backoff.Reset();                              // after a success
 
 #pragma once
 
@@ -10,15 +15,15 @@
 
 namespace hickorystand {
 
-// Doubles the wait with each failure up to a limit, and spreads it at random
-// over its upper half. Without the spread all hosts that lost the same service
-// would come back to it at the same moments and bring it down again.
+// Doubles the delay with each failure up to a limit and draws the actual delay
+// at random from its upper half. Without this jitter, all hosts that lost the
+// same service would retry at the same moments and overload it again.
 class Backoff {
  public:
   Backoff(Duration first, Duration limit, uint64_t seed)
       : first(first), limit(limit), random(seed) {}
 
-  // Notes a failure; answers how long to wait now.
+  // Records a failure and returns the delay before the next attempt.
   Duration Next() {
     const Duration whole =
         std::min(this->limit, this->first * (int64_t{1} << this->failures));
@@ -28,14 +33,14 @@
     return Duration(spread(this->random));
   }
 
-  // Notes a success.
+  // Records a success: the next delay starts from `first` again.
   void Reset() { this->failures = 0; }
 
-  // Failures since the last success, up to a bound.
+  // Failures since the last success, counted up to kMaxDoublings.
   int Failures() const { return this->failures; }
 
  private:
-  static constexpr int kMaxDoublings = 20;
+  static constexpr int kMaxDoublings = 20;  // keeps the shift from overflowing
 
   Duration first;
   Duration limit;
--- a/packages/kernel/dropping_buffer.cc
+++ b/packages/kernel/dropping_buffer.cc
@@ -6,7 +6,8 @@
 namespace hickorystand {
 namespace {
 
-// A pipe that is ready takes this much at once without blocking (PIPE_BUF).
+// A pipe that polls as writable accepts this many bytes without blocking
+// (PIPE_BUF).
 constexpr size_t kLongestWrite = 4096;
 
 bool TakesMore(int descriptor) {
--- a/packages/kernel/dropping_buffer.h
+++ b/packages/kernel/dropping_buffer.h
@@ -1,6 +1,8 @@
-// A stream buffer that hands whole lines to a file descriptor and drops a line
-// rather than wait: whoever reads the log may be slow or gone, and no request
-// may wait for that.
+// A stream buffer for logs that never blocks.
+//
+//   DroppingBuffer buffer(STDOUT_FILENO);
+//   std::ostream out(&buffer);
+//   out << "one line\n" << std::flush;
 
 #pragma once
 
@@ -11,11 +13,15 @@
 
 namespace hickorystand {
 
+// Writes the buffered line to a file descriptor at each flush. A line that
+// can't be written at once is dropped and counted, because the reader of the
+// log may be slow or gone and requests must not block on it. Lines longer than
+// 4096 bytes are truncated.
 class DroppingBuffer final : public std::streambuf {
  public:
   explicit DroppingBuffer(int descriptor) : descriptor(descriptor) {}
 
-  // Lines dropped so far. May be called from any thread.
+  // Lines dropped so far. Thread-safe.
   int64_t Dropped() const { return this->dropped; }
 
  protected:
--- a/packages/kernel/ids.h
+++ b/packages/kernel/ids.h
@@ -1,4 +1,5 @@
-// Typed identifiers. Two kinds of id can't be mixed up, though both are text.
+// Typed string identifiers: ids of different kinds are different types, so that
+// the compiler rejects mixing them up.
 
 #pragma once
 
@@ -10,14 +11,14 @@
 
 namespace hickorystand {
 
-// A string that is an id of one kind, told apart by its tag.
+// An id of one kind; the tag only makes the type distinct.
 template <typename Tag>
 class Id {
  public:
   Id() = default;
   explicit Id(std::string text) : text(std::move(text)) {}
 
-  // The id as it stands in configuration, on the wire and in logs.
+  // The id as it appears in configuration, on the wire and in logs.
   const std::string& Text() const { return this->text; }
   bool Empty() const { return this->text.empty(); }
 
@@ -32,13 +33,13 @@
   std::string text;
 };
 
-using HostId = Id<struct HostTag>;              // an entry host
+using HostId = Id<struct HostTag>;              // a host
 using DataCentreId = Id<struct DataCentreTag>;  // also called a site
 using AccountId = Id<struct AccountTag>;        // a client account
 using ServiceId = Id<struct ServiceTag>;        // a model or a plain service
-using EndpointId = Id<struct EndpointTag>;      // one back end
-using RequestId = Id<struct RequestTag>;        // one caller's request
-using ZoneId = Id<struct ZoneTag>;              // what fails together
+using EndpointId = Id<struct EndpointTag>;      // an endpoint (back end)
+using RequestId = Id<struct RequestTag>;        // a caller's request
+using ZoneId = Id<struct ZoneTag>;              // a failure domain
 
 }  // namespace hickorystand
 
--- a/packages/kernel/ini_file.cc
+++ b/packages/kernel/ini_file.cc
@@ -15,8 +15,8 @@
 
 using KeyFilePtr = std::unique_ptr<GKeyFile, KeyFileFree>;
 
-// Where each section and key stands. GKeyFile keeps no line numbers and merges
-// duplicates silently, so the lines are read once more here.
+// Collects the line number of each section and key. GKeyFile keeps no line
+// numbers and merges duplicates silently, so the text is scanned separately.
 std::vector<IniSection> ReadOutline(const std::string& text,
                                     IniFaults& faults) {
   std::vector<IniSection> sections;
@@ -31,8 +31,8 @@
       const std::string name = line.substr(1, line.find(']') - 1);
       if (const auto* first = FindSection(sections, name)) {
         faults.Add(number, "[" + name +
-                               "]: section stands twice; first at "
-                               "line " +
+                               "]: duplicate section; first defined "
+                               "in line " +
                                std::to_string(first->line));
       }
       sections.push_back({.name = name, .line = number});
@@ -40,8 +40,7 @@
       IniSection& section = sections.back();
       const std::string key = TrimSpaces(line.substr(0, line.find('=')));
       if (section.Find(key) != nullptr) {
-        faults.Add(number,
-                   "[" + section.name + "] " + key + ": key stands twice");
+        faults.Add(number, "[" + section.name + "] " + key + ": duplicate key");
       }
       section.entries.push_back({.key = key, .line = number});
     }
--- a/packages/kernel/ini_file.h
+++ b/packages/kernel/ini_file.h
@@ -1,5 +1,15 @@
-// An INI file with the line of every section and key, for messages that point
-// at what is wrong. GKeyFile reads it.
+// INI files, parsed with GKeyFile, with the line number of every section and
+// key for error messages.
+//
+//   IniFaults faults("host.ini");
+//   const auto sections = ReadIni(text, faults);
+//   if (!faults.Text().empty()) { ... }
+//
+// Index
+//   IniFaults              the faults found in one file
+//   IniSection, IniEntry   one section and one of its keys
+//   ReadIni, FindSection   parsing and lookup
+//   TrimSpaces             a text without surrounding white space
 
 #pragma once
 
@@ -15,10 +25,10 @@
  public:
   explicit IniFaults(std::string file) : file(std::move(file)) {}
 
-  // Adds FILE:LINE: what.
+  // Adds a fault, which is reported as "FILE:LINE: what".
   void Add(int line, const std::string& what);
 
-  // All faults, one a line; empty if there is none.
+  // All faults, one per line; empty if there is none.
   const std::string& Text() const { return this->text; }
   const std::string& File() const { return this->file; }
 
@@ -27,7 +37,7 @@
   std::string text;
 };
 
-// One key of a section.
+// One key of a section with its value.
 struct IniEntry {
   std::string key;
   std::string value;
@@ -36,26 +46,27 @@
   auto operator<=>(const IniEntry&) const = default;
 };
 
-// One section.
+// One section with its keys in file order.
 struct IniSection {
   std::string name;
   int line = 0;
   std::vector<IniEntry> entries;
 
+  // The entry of a key; null if there is none.
   const IniEntry* Find(std::string_view key) const;
 
   auto operator<=>(const IniSection&) const = default;
 };
 
-// Reads a file's text. Bad syntax, and sections and keys that stand twice, are
-// added to the faults.
+// Parses a file's text. Syntax errors and duplicate sections and keys are added
+// to the faults.
 std::vector<IniSection> ReadIni(const std::string& text, IniFaults& faults);
 
-// The section of a name; null if there is none.
+// The section with a name; null if there is none.
 const IniSection* FindSection(const std::vector<IniSection>& sections,
                               std::string_view name);
 
-// A text without the spaces around it.
+// A text without leading and trailing spaces, tabs and carriage returns.
 std::string TrimSpaces(std::string_view text);
 
 }  // namespace hickorystand
--- a/packages/kernel/json.cc
+++ b/packages/kernel/json.cc
@@ -9,7 +9,7 @@
 namespace hickorystand {
 namespace {
 
-// The deepest nesting of a document, read without recursion.
+// The nesting depth of a document, computed without recursion.
 int Depth(std::string_view text) {
   int depth = 0;
   int deepest = 0;
@@ -61,7 +61,7 @@
   if (Depth(text) > kMaxJsonDepth) {
     return Fail(ErrorKind::kBadRequest, "the JSON nests too deep");
   }
-  // json-glib would read on past text that is not UTF-8 and hand it out.
+  // json-glib would accept strings that are not valid UTF-8 and return them.
   if (!g_utf8_validate(text.data(), static_cast<gssize>(text.size()),
                        nullptr)) {
     return Fail(ErrorKind::kBadRequest, "the JSON is not valid UTF-8");
--- a/packages/kernel/json.h
+++ b/packages/kernel/json.h
@@ -1,4 +1,4 @@
-// JSON through json-glib: reading with checked access, and writing.
+// JSON parsing with type-checked access, and JSON output, on json-glib.
 //
 //   const auto value = Json::Parse(body);
 //   if (value && value->At("model").IsText()) { ... }
@@ -8,7 +8,7 @@
 //   Send(out.Text());
 //
 // Index
-//   Json         a parsed value; absent members are values too, and read empty
+//   Json         a parsed value; an absent member is an empty value
 //   JsonWriter   builds one document
 
 #pragma once
@@ -26,23 +26,24 @@
 
 namespace hickorystand {
 
-// How deep arrays and objects may nest in what is parsed. The parser descends
-// by recursion, so a hostile document of brackets would overflow the stack.
+// Limit on the nesting of arrays and objects in parsed documents. The parser is
+// recursive, so a malicious document of nested brackets would overflow the
+// stack.
 inline constexpr int kMaxJsonDepth = 64;
 
-// One value of a parsed document, which it keeps alive.
+// One value of a parsed document. It shares ownership of the document.
 class Json {
  public:
   // An absent value.
   Json() = default;
 
-  // Parses a document; kBadRequest if it is none or nests too deep.
+  // Parses a document; kBadRequest if it is invalid or nested too deeply.
   static Result<Json> Parse(std::string_view text);
 
-  // As Parse(), and kBadRequest if the document is no object.
+  // Like Parse(), and also kBadRequest if the document is not an object.
   static Result<Json> ParseObject(std::string_view text);
 
-  // What the value is. An absent one is nothing of all this.
+  // The value's type. All return false for an absent value.
   bool Exists() const { return this->node != nullptr; }
   bool IsObject() const;
   bool IsArray() const;
@@ -51,27 +52,27 @@
   bool IsNumber() const;  // integers included
   bool IsFlag() const;
 
-  // The member of an object; absent if there is none or this is no object.
+  // The member of an object; absent if there is none or this is not an object.
   Json At(std::string_view name) const;
 
-  // The elements of an array, and the member names of an object in their
-  // order; empty for anything else.
+  // The elements of an array, and the member names of an object in document
+  // order; empty for values of other types.
   std::vector<Json> Items() const;
   std::vector<std::string> Names() const;
 
-  // The elements of an array as whole numbers; others read 0.
+  // The elements of an array as integers; 0 for elements of other types.
   std::vector<int64_t> Integers() const;
 
-  // The plain value, or the fallback if it is of another type.
+  // The value, or the fallback if it is of another type.
   std::string Text(std::string fallback = "") const;
   double Number(double fallback = 0) const;
   bool Flag(bool fallback = false) const;
 
-  // A whole number, also one that is written as text: that is how 64-bit
-  // integers stand in the JSON mapping of protocol buffers.
+  // An integer, also one that is written as a string, as the JSON mapping of
+  // protocol buffers writes 64-bit integers.
   int64_t Integer(int64_t fallback = 0) const;
 
-  // The value written out again, without spaces.
+  // The value serialised without white space. The value must exist.
   std::string Write() const;
 
  private:
@@ -82,7 +83,7 @@
   std::shared_ptr<JsonNode> node;
 };
 
-// Writes one JSON document.
+// Builds one JSON document.
 class JsonWriter {
  public:
   JsonWriter();
@@ -92,7 +93,7 @@
   JsonWriter& BeginArray();
   JsonWriter& EndArray();
 
-  // Names the next value of an object.
+  // Sets the name of the next value of an object.
   JsonWriter& Name(std::string_view name);
 
   JsonWriter& Value(std::string_view value);
@@ -111,13 +112,14 @@
   JsonWriter& Value(double value);
   JsonWriter& Value(const Json& value);
 
-  // A name with its value.
+  // Adds a name and its value.
   template <typename T>
   JsonWriter& Member(std::string_view name, const T& value) {
     return this->Name(name).Value(value);
   }
 
-  // The document; all that was begun must be ended. `indented` is for people.
+  // The document; every object and array must be closed. `indented` makes it
+  // readable for people.
   std::string Text(bool indented = false) const;
 
  private:
--- a/packages/kernel/log.cc
+++ b/packages/kernel/log.cc
@@ -62,7 +62,8 @@
   return std::string(text.data(), used) + fraction.data();
 }
 
-// A value with everything escaped that could forge another line or field.
+// Escapes quotes, backslashes and control characters, so that a value can't
+// forge another line or field.
 void AppendEscaped(std::string& out, std::string_view value) {
   constexpr std::string_view kHex = "0123456789abcdef";
   for (const char c : value) {
@@ -120,7 +121,7 @@
   return line + "}";
 }
 
-// Outlives every line that is written.
+// Static, so that it outlives the sink that writes to it.
 DroppingBuffer& StandardOutput() {
   static DroppingBuffer buffer(STDOUT_FILENO);
   return buffer;
@@ -140,7 +141,7 @@
     backend->add_stream(boost::make_shared<std::ostream>(&StandardOutput()));
   } else if (options.file.empty()) {
     backend->add_stream(boost::shared_ptr<std::ostream>(
-        &std::clog, [](std::ostream*) { /* not ours to delete */ }));
+        &std::clog, [](std::ostream*) { /* std::clog is not owned */ }));
   } else {
     backend->add_stream(
         boost::make_shared<std::ofstream>(options.file, std::ios::app));
--- a/packages/kernel/log.h
+++ b/packages/kernel/log.h
@@ -1,12 +1,19 @@
-// Logs: short sentences, each with the prefix of the part that speaks.
+// Structured log lines: a short sentence with fields, prefixed with the name of
+// the component that logs it.
 //
 //   LogInfo(kPart, "Request sent.", {{"request", id.Text()},
 //                                    {"endpoint", choice.Text()}});
 //
-// prints in text form
+// is written in text form as
 //   2026-01-31T12:00:00.000Z info  router: Request sent. request=r1 endpoint=e4
-// and in JSON form one object a line. Keys of client accounts must never be
-// passed as a field; tests search the logs for them.
+// and in JSON form as one object per line. API keys of client accounts must
+// never be passed as a field; tests search the logs for them.
+//
+// Index
+//   LogLevel, LogField, LogOptions      types
+//   StartLog, SetLogLevel               set-up
+//   LogDebug ... LogError, LogLineWith  writing
+//   LogLimiter                          limits the rate of one kind of line
 
 #pragma once
 
@@ -24,7 +31,7 @@
 
 enum class LogLevel { kDebug, kInfo, kWarning, kError };
 
-// One named value beside the sentence.
+// One named value of a log line.
 struct LogField {
   std::string_view name;
   std::string value;
@@ -32,31 +39,32 @@
 
 using LogFields = std::initializer_list<LogField>;
 
-// How this process writes its log.
+// How this process writes its log. The output is the file, standard error, or
+// standard output.
 struct LogOptions {
   LogLevel level = LogLevel::kInfo;
   bool json = false;
   std::string file;  // empty: standard error
-  // Instead of standard error; a line that can't be written at once is dropped.
+  // Log to standard output; lines that would block are dropped.
   bool standard_output = false;
 };
 
 // Sets up logging; call once, before any task starts.
 void StartLog(const LogOptions& options);
 
-// Sets the least level that is written from now on.
+// Sets the lowest level that is written.
 void SetLogLevel(LogLevel level);
 
-// Lines dropped since the start because nobody read standard output.
+// Lines dropped since the start because standard output was not writable.
 int64_t LogLinesDropped();
 
-// Writes one line, unless its level is below the one set.
+// Writes one line, unless its level is below the configured one.
 void LogLine(LogLevel level,
              std::string_view part,
              std::string_view sentence,
              LogFields fields);
 
-// As LogLine(), with fields whose number is known only when it runs.
+// Like LogLine(), for a number of fields that is known only at run time.
 void LogLineWith(LogLevel level,
                  std::string_view part,
                  std::string_view sentence,
@@ -83,20 +91,21 @@
   LogLine(LogLevel::kError, part, sentence, fields);
 }
 
-// The level of a name (debug, info, warning, error); false if there is none.
+// Parses a level name (debug, info, warning, error); false if it is unknown.
 bool ParseLogLevel(std::string_view name, LogLevel& level);
 
-// Bounds how often one kind of line is written. Without it a caller who sends
-// bad requests in a loop fills the log and slows everybody down.
+// A token bucket that limits how often one kind of line is written. Without it
+// a caller that sends bad requests in a loop would fill the log and slow down
+// all other requests.
 class LogLimiter {
  public:
-  // Allows `burst` lines at once and one more each `interval`.
+  // Allows a burst of `burst` lines, and one more line per `interval`.
   LogLimiter(int burst, Duration interval);
 
-  // Whether a line may be written now.
+  // Whether a line may be written now; consumes a token if so.
   bool Allow(Instant now);
 
-  // How many lines were held back since the last one that was allowed.
+  // Lines suppressed since the last one that was allowed.
   int64_t Suppressed() const { return this->suppressed; }
 
  private:
--- a/packages/kernel/metrics.cc
+++ b/packages/kernel/metrics.cc
@@ -40,7 +40,7 @@
   return out;
 }
 
-// The series' full name, as it is printed and stored: name{label="value"}.
+// The full name of a series: name{label="value"}.
 std::string SeriesName(std::string_view name, const MetricLabels& labels) {
   std::string series(name);
   if (labels.empty()) {
@@ -63,7 +63,7 @@
              : series + "{" + label;
 }
 
-// Puts a suffix behind the metric's name, before the labels.
+// Inserts a suffix between the metric's name and its labels.
 std::string WithSuffix(const std::string& series, std::string_view suffix) {
   const size_t brace = std::min(series.find('{'), series.size());
   return series.substr(0, brace) + std::string(suffix) + series.substr(brace);
--- a/packages/kernel/metrics.h
+++ b/packages/kernel/metrics.h
@@ -1,8 +1,11 @@
-// Metrics: counters, gauges and distributions, printed as Prometheus text.
+// Metrics: counters, gauges and distributions in the Prometheus text format.
 //
-// One Metrics object serves a whole process; its calls may come from any
-// thread. Label values must come from configuration or a closed list, never
-// from callers, or one caller could grow the process without bound.
+// A process has one Metrics object; its functions are thread-safe. Label values
+// must come from configuration or a fixed set, never from callers, otherwise a
+// caller could grow the process's memory without bound.
+//
+//   metrics.Add("store_reads_total", 1);
+//   metrics.Observe("request_seconds", 0.25, {{"service", id.Text()}});
 
 #pragma once
 
@@ -16,7 +19,7 @@
 
 namespace hickorystand {
 
-// The labels of one series, as {name, value} pairs in the order printed.
+// The labels of one series, as {name, value} pairs in output order.
 using MetricLabels = std::vector<std::pair<std::string, std::string>>;
 
 // Summary of the samples of one distribution.
@@ -37,7 +40,7 @@
   Metrics(const Metrics&) = delete;
   Metrics& operator=(const Metrics&) = delete;
 
-  // Adds to a counter, which is made at its first use.
+  // Adds to a counter, which is created at its first use.
   void Add(std::string_view name,
            double amount,
            const MetricLabels& labels = {});
@@ -52,14 +55,15 @@
                double sample,
                const MetricLabels& labels = {});
 
-  // The value of a counter or gauge; 0 if it was never touched.
+  // The value of a counter or gauge; 0 if it was never set.
   double Value(std::string_view name, const MetricLabels& labels = {}) const;
 
   // The summary of a distribution; all zero if it has no sample.
   MetricSummary Summary(std::string_view name,
                         const MetricLabels& labels = {}) const;
 
-  // Everything in the Prometheus text format, sorted by name.
+  // All metrics in the Prometheus text format: counters and gauges, then
+  // distributions, each sorted by name.
   std::string PrometheusText() const;
 
  private:
--- a/packages/kernel/registry.h
+++ b/packages/kernel/registry.h
@@ -1,5 +1,5 @@
-// The plug-in registry: parts that can be exchanged register themselves by
-// name, and settings choose among them.
+// The plug-in registry: implementations of an interface register themselves by
+// name, and settings select one of them.
 //
 //   // in the plug-in's .cc file
 //   const bool kRegistered =
@@ -26,8 +26,8 @@
  public:
   using Factory = typename Interface::Factory;
 
-  // Registers a plug-in while statics are initialised. Always true, so that a
-  // namespace-scope constant can hold the call.
+  // Registers a plug-in during static initialisation. Always returns true, so
+  // that the call can initialise a namespace-scope constant.
   static bool Add(std::string name, Factory factory) {
     const auto [where, fresh] =
         Table().emplace(std::move(name), std::move(factory));
@@ -35,7 +35,7 @@
     return fresh || where != Table().end();
   }
 
-  // The factory of a plug-in, or nullptr if no plug-in bears that name.
+  // The factory of a plug-in; null if no plug-in has that name.
   static const Factory* Find(const std::string& name) {
     const auto found = Table().find(name);
     return found == Table().end() ? nullptr : &found->second;
--- a/packages/kernel/settings.cc
+++ b/packages/kernel/settings.cc
@@ -39,7 +39,7 @@
   return value;
 }
 
-// A number that is no word such as "nan" and not negative.
+// Parses a finite, non-negative decimal number; rejects words such as "nan".
 std::optional<double> ParseShare(std::string_view text) {
   double value = 0;
   const auto [end, error] =
@@ -75,7 +75,8 @@
   return std::string(section) + "/" + std::string(key);
 }
 
-// Why a value breaks its rule, with what is allowed; empty if it doesn't.
+// Explains how a value violates its rule and what is allowed; empty if the
+// value is valid.
 std::string CheckValue(const SettingRule& rule, const std::string& value) {
   switch (rule.type) {
     case SettingType::kText:
--- a/packages/kernel/settings.h
+++ b/packages/kernel/settings.h
@@ -1,5 +1,13 @@
-// Host settings: one INI file, checked whole against a schema before anything
-// starts. A wrong file is refused with file, line, key and what is allowed.
+// Settings of a process: one INI file, fully validated against a schema at
+// start-up. Errors name the file, line, key and what is allowed.
+//
+//   const auto settings = Settings::Load(path, rules);
+//   if (settings) { Listen(settings->Text("gateway", "listen")); }
+//
+// Index
+//   SettingType, SettingRule       the schema
+//   Settings                       the validated values
+//   ParseDuration, ParseAddress    values outside of a settings file
 
 #pragma once
 
@@ -15,10 +23,10 @@
 
 namespace hickorystand {
 
-// What a setting's value must look like.
+// The format of a setting's value.
 enum class SettingType {
-  kText,       // any text, not empty
-  kInteger,    // a whole number within [minimum, maximum]
+  kText,       // any non-empty text
+  kInteger,    // an integer within [minimum, maximum]
   kShare,      // a decimal number of at least 0, such as 0.2
   kDuration,   // a number with unit: 250ms, 5s, 10m, 24h
   kBoolean,    // true or false
@@ -27,12 +35,13 @@
   kChoice,     // one of `choices`
 };
 
-// One setting that may stand in the file.
+// The schema of one setting. `minimum` and `maximum` apply to integers, and to
+// durations in milliseconds.
 struct SettingRule {
   std::string section;
   std::string key;
   SettingType type = SettingType::kText;
-  std::string fallback;  // used when absent; empty and required: must be given
+  std::string fallback;  // used when absent; unused if required
   bool required = false;
   int64_t minimum = 0;
   int64_t maximum = INT64_MAX;
@@ -40,21 +49,21 @@
   std::string help;  // one sentence for docs and error messages
 };
 
-// The checked settings of one process.
+// The validated settings of one process.
 class Settings {
  public:
-  // Reads and checks a file. The error's message lists every fault found, one
-  // a line, as FILE:LINE: [section] key: what is wrong; what is allowed.
+  // Reads and validates a file. The error's message lists every fault, one per
+  // line, as FILE:LINE: [section] key: what is wrong; what is allowed.
   static Result<Settings> Load(const std::string& path,
                                const std::vector<SettingRule>& rules);
 
-  // As Load(), from text; `name` stands for the file in messages.
+  // Like Load(), from text; `name` is the file name in messages.
   static Result<Settings> Parse(const std::string& text,
                                 const std::string& name,
                                 const std::vector<SettingRule>& rules);
 
-  // The value of a setting. Asking for one that the schema lacks, or as
-  // another type than it has, is a fault of the program and is asserted.
+  // The value of a setting. Reading one that is not in the schema, or with
+  // another type, is a programming error and fails an assertion.
   const std::string& Text(std::string_view section, std::string_view key) const;
   int64_t Integer(std::string_view section, std::string_view key) const;
   double Share(std::string_view section, std::string_view key) const;
@@ -67,7 +76,7 @@
   std::map<std::string, std::string, std::less<>> values;
 };
 
-// Reads a length of time such as 250ms, 5s, 10m or 24h.
+// Parses a duration such as 250ms, 5s, 10m or 24h, of at most 100 years.
 Result<Duration> ParseDuration(std::string_view text);
 
 // An IP address with a port.
@@ -78,7 +87,8 @@
   auto operator<=>(const SocketAddress&) const = default;
 };
 
-// Reads IP:PORT or [IPv6]:PORT. Names are refused: hosts talk by IP numbers.
+// Parses IP:PORT or [IPv6]:PORT. Host names are rejected, because hosts connect
+// by IP address only.
 Result<SocketAddress> ParseAddress(std::string_view text);
 
 }  // namespace hickorystand
--- a/packages/kernel/stop_signal.cc
+++ b/packages/kernel/stop_signal.cc
@@ -13,10 +13,11 @@
 namespace hickorystand {
 namespace {
 
-// What the signal handler may use: lock-free, and set before it is installed.
+// State of the signal handler: lock-free, so that the handler is
+// async-signal-safe, and set before the handler is installed.
 std::atomic<int> write_end{-1};
 std::atomic<int64_t> first_arrival{
-    0};  // microseconds of BootClock; 0: none yet
+    0};  // BootClock time in microseconds; 0: no signal yet
 
 static_assert(std::atomic<int64_t>::is_always_lock_free);
 
@@ -26,7 +27,7 @@
   first_arrival.compare_exchange_strong(
       none, BootClock().Now().time_since_epoch().count());
   const char byte = 0;
-  // A full pipe already wakes the main loop.
+  // A failed write is harmless: a full pipe already wakes up the main loop.
   [[maybe_unused]] const ssize_t written = write(write_end, &byte, 1);
   errno = saved_errno;
 }
--- a/packages/kernel/stop_signal.h
+++ b/packages/kernel/stop_signal.h
@@ -1,8 +1,9 @@
-// The signals that stop the process, as a call on the main loop that knows when
-// the first of them arrived.
+// Delivers SIGTERM and SIGINT as a callback on the main loop, with the time at
+// which the first signal arrived.
 //
-// A busy main loop makes the call late, while the time until the process is
-// killed counts from the signal.
+// The arrival time is recorded in the signal handler, because a busy main loop
+// makes the call late, while the time until the process is killed counts from
+// the signal.
 //
 //   StopSignal signal([&host](Instant arrived) { host.Drain(arrived); });
 
@@ -16,10 +17,11 @@
 
 namespace hickorystand {
 
-// Watches SIGTERM and SIGINT. A process has one of these at most.
+// Handles SIGTERM and SIGINT. A process has at most one instance.
 class StopSignal {
  public:
-  // Is told when the first signal arrived, by BootClock, at each signal.
+  // Called after each signal with the BootClock time of the first one. Signals
+  // in quick succession may be merged into one call.
   using Handler = std::function<void(Instant arrived)>;
 
   explicit StopSignal(Handler handler);
--- a/packages/kernel/task.cc
+++ b/packages/kernel/task.cc
@@ -18,8 +18,8 @@
   delete static_cast<Work*>(data);
 }
 
-// Attaches work to a context. g_main_context_invoke() would run it at once on
-// the caller's thread when nobody owns the context, so a source is used.
+// Queues work on a context. g_main_context_invoke() would run it immediately on
+// the caller's thread if no thread owned the context, so a source is used.
 void AttachWork(GMainContext* context, Work work) {
   GSource* source = g_idle_source_new();
   g_source_set_priority(source, G_PRIORITY_DEFAULT);
@@ -100,7 +100,7 @@
 gboolean Timer::OnFire(gpointer self) {
   auto* timer = static_cast<Timer*>(self);
   const bool again = timer->repeat;
-  const Work call = timer->fire;  // `fire` may destroy the timer
+  const Work call = timer->fire;  // copied, since `fire` may destroy the timer
   call();
   return again ? G_SOURCE_CONTINUE : G_SOURCE_REMOVE;
 }
--- a/packages/kernel/task.h
+++ b/packages/kernel/task.h
@@ -1,7 +1,15 @@
-// Tasks: one thread with one GMainContext, which owns its sockets and state.
+// Tasks: threads that each run a GLib main loop and own their sockets and
+// state.
 //
-// Nothing is shared between tasks. A task is handed work by Post(), and the
-// values it is handed are its own from then on.
+// Tasks share no state. They communicate with Post(), and the values captured
+// in posted work belong to the receiving task from then on.
+//
+//   Task task("store");
+//   task.Post([] { ... });
+//
+// Index
+//   Task    a thread with a main loop
+//   Timer   a one-shot or periodic timer on the current task
 
 #pragma once
 
@@ -16,27 +24,27 @@
 
 namespace hickorystand {
 
-// A thread that runs a GLib main loop until stopped.
+// A thread that runs a GLib main loop until it is stopped.
 class Task {
  public:
-  // Starts the thread; `name` shows in debuggers and logs.
+  // Starts the thread; `name` is for debugging.
   explicit Task(std::string name);
   ~Task();
   Task(const Task&) = delete;
   Task& operator=(const Task&) = delete;
 
-  // Runs `work` on this task's thread, after all that was posted before.
-  // May be called from any thread. Work posted after Stop() is dropped.
+  // Queues `work` for this task's thread, in order. Thread-safe. Work posted
+  // after Stop() is dropped.
   void Post(std::function<void()> work);
 
   // Runs `work` on this task's thread and waits for it. Calling it from this
-  // task's own thread would deadlock and is asserted against.
+  // task's own thread would deadlock and fails an assertion.
   void Call(const std::function<void()>& work);
 
-  // Ends the loop after the work posted so far, and joins the thread.
+  // Stops the loop after the work posted so far, and joins the thread.
   void Stop();
 
-  // The context to which sources of this task are attached.
+  // The context for the sources of this task.
   GMainContext* Context() const { return this->context; }
 
   // Whether the calling thread is this task's own.
@@ -49,14 +57,15 @@
   std::thread thread;
 };
 
-// Calls a function on the thread-default context: once after a delay, or
-// repeatedly. Destroying the timer cancels it.
+// Calls a function on the thread-default context, once after a delay or
+// periodically. Durations are rounded up to whole milliseconds. Destroying the
+// timer cancels it; the callback may do so.
 class Timer {
  public:
   // Fires once.
   static std::unique_ptr<Timer> After(Duration delay,
                                       std::function<void()> fire);
-  // Fires again and again until destroyed.
+  // Fires periodically until destroyed.
   static std::unique_ptr<Timer> Every(Duration period,
                                       std::function<void()> fire);
   ~Timer();
--- a/packages/kernel/time.h
+++ b/packages/kernel/time.h
@@ -1,12 +1,12 @@
-// Time as the whole system counts it, and the clocks that tell it.
+// Time types and clocks.
 //
 // Index
-//   Instant, Duration   the types every decision takes
-//   ToMilliseconds      a length of time in records and messages
-//   MillisecondsText    the same in logs
-//   Clock               where a process reads the time
-//   BootClock           the real one; runs through suspend
-//   ManualClock         for tests and benches; moves only when told
+//   Instant, Duration   the time types of decision code
+//   ToMilliseconds      a duration as an integer, for records and messages
+//   MillisecondsText    the same as text, for logs
+//   Clock               interface of a clock
+//   BootClock           the system's clock; includes time in suspend
+//   ManualClock         for tests and benchmarks; advanced explicitly
 
 #pragma once
 
@@ -19,7 +19,8 @@
 // A length of time, in microseconds.
 using Duration = std::chrono::microseconds;
 
-// The clock tag behind Instant. It has no now(): decisions are given the time.
+// The clock of Instant. It has no now(): decision code receives the time as an
+// argument.
 struct BootTime {
   using duration = Duration;
   using rep = duration::rep;
@@ -28,42 +29,43 @@
   static constexpr bool is_steady = true;  // NOLINT: named by std::chrono
 };
 
-// A moment on this host's own clock. Instants of two hosts can't be compared.
+// A point in time on this host's clock. Instants of different hosts can't be
+// compared.
 using Instant = BootTime::time_point;
 
 // Whole milliseconds.
 int64_t ToMilliseconds(Duration length);
 
-// The same as a decimal number, for logs.
+// Whole milliseconds as decimal text, for logs.
 std::string MillisecondsText(Duration length);
 
-// Tells the time. Only tasks hold one; decisions take an Instant.
+// Reads the time. Only tasks have a clock; decision code takes an Instant.
 class Clock {
  public:
   virtual ~Clock() = default;
 
-  // The present moment on this host.
+  // The current time on this host.
   virtual Instant Now() const = 0;
 
   // Milliseconds since the Unix epoch, for records that outlive a host.
   virtual int64_t WallMilliseconds() const = 0;
 };
 
-// CLOCK_BOOTTIME. A monotonic clock that stops during suspend would let a host
-// that slept through its lease believe that it still holds it.
+// CLOCK_BOOTTIME. With a monotonic clock that stops during suspend, a host
+// whose lease expired while it was suspended would still treat it as held.
 class BootClock final : public Clock {
  public:
   Instant Now() const override;
   int64_t WallMilliseconds() const override;
 };
 
-// A clock that a test or a bench moves by hand.
+// A clock that a test or benchmark advances explicitly.
 class ManualClock final : public Clock {
  public:
   Instant Now() const override { return this->now; }
   int64_t WallMilliseconds() const override;
 
-  // Moves the clock forward.
+  // Advances the clock.
   void Advance(Duration by) { this->now += by; }
 
  private:
