--- a/packages/platform/blocking_store.cc
+++ b/packages/platform/blocking_store.cc
@@ -20,7 +20,7 @@
   this->task.Call([this] { this->store.reset(); });
 }
 
-// Starts a call on the task and waits until it has answered.
+// Starts a call on the task and blocks until its callback was called.
 template <typename Answer, typename Start>
 Answer BlockingStore::Wait(Start start) {
   std::promise<Answer> promise;
--- a/packages/platform/blocking_store.h
+++ b/packages/platform/blocking_store.h
@@ -1,5 +1,8 @@
-// The key-value service for programs that do one thing at a time, such as the
-// operators' client: each call waits for its answer.
+// A blocking client of the key-value service, for sequential programs such as
+// the operators' command-line client.
+//
+//   BlockingStore store("etcd-json", {.addresses = {address}});
+//   const StoreReply reply = store.Transact(transaction);
 
 #pragma once
 
@@ -12,10 +15,11 @@
 
 namespace hickorystand {
 
-// A store client on a task of its own.
+// Runs a KeyValueStore on its own task. Each call blocks until the reply or the
+// client's timeout, with the results and errors of KeyValueStore.
 class BlockingStore {
  public:
-  // `plugin` names the KeyValueStore; asserts that there is one.
+  // `plugin` is the name of a registered KeyValueStore (asserted).
   BlockingStore(const std::string& plugin, const KeyValueStoreOptions& options);
   ~BlockingStore();
   BlockingStore(const BlockingStore&) = delete;
@@ -26,7 +30,8 @@
   Result<Duration> RenewLease(int64_t lease);
   Result<int64_t> RevokeLease(int64_t lease);
 
-  // The client and its task, for what needs no waiting, such as watches.
+  // The asynchronous client and its task, for example for watches. The client
+  // must be used on the task only.
   Task& StoreTask() { return this->task; }
   KeyValueStore& Store() { return *this->store; }
 
--- a/packages/platform/etcd_messages.cc
+++ b/packages/platform/etcd_messages.cc
@@ -103,7 +103,7 @@
   }
 }
 
-// The revision of an answer's header, which every true answer has.
+// The revision in a response's header; every valid response has one.
 std::optional<int64_t> HeaderRevision(const Json& answer) {
   const int64_t revision = answer.At("header").At("revision").Integer(-1);
   return revision < 0 ? std::nullopt : std::optional(revision);
--- a/packages/platform/etcd_messages.h
+++ b/packages/platform/etcd_messages.h
@@ -1,12 +1,13 @@
-// The messages of the published etcd v3 JSON gateway: how transactions are
-// written and how answers are read. No I/O.
+// Messages of the public etcd v3 JSON gateway: encoding of requests and
+// decoding of responses. No I/O.
 //
-// Keys and values travel in base64, 64-bit integers as text, and members that
-// hold their default are left out.
+// The gateway encodes keys and values in base64 and 64-bit integers as text,
+// and omits members that have their default value.
 //
 // Index
-//   WriteTransaction, WriteRange, ReadReply     /v3/kv/txn and /v3/kv/range
-//   WriteWatch, WriteProbe, ReadWatchMessage    /v3/watch
+//   WriteTransaction, ReadTransactionReply   /v3/kv/txn
+//   WriteRange, WriteProbe, ReadRangeReply   /v3/kv/range
+//   WriteWatch, ReadWatchMessage             /v3/watch
 
 #pragma once
 
@@ -22,44 +23,47 @@
 
 namespace hickorystand {
 
-// Base64, as the gateway wants bytes.
+// Base64, the gateway's encoding of bytes.
 std::string ToBase64(const std::string& bytes);
 std::string FromBase64(const std::string& text);
 
-// The first key after all those with a prefix; "\0" for the empty prefix.
+// The end (exclusive) of the key range of a prefix; "\0", which means no end,
+// for the empty prefix.
 std::string EndOfPrefix(const std::string& prefix);
 
-// Whether a transaction only reads, so that it may be sent twice.
+// Whether a transaction only reads, and so may be sent twice.
 bool OnlyReads(const StoreTransaction& transaction);
 
-// Whether a transaction is one plain read, for which /v3/kv/range is enough.
+// Whether a transaction is one unconditional read, which /v3/kv/range can
+// serve.
 bool IsSingleRead(const StoreTransaction& transaction);
 
 // The request bodies.
 std::string WriteTransaction(const StoreTransaction& transaction);
 std::string WriteRange(const StoreOperation& read);
 
-// Asks for the keys, without values, that changed above a revision.
+// A range request for the keys, without values, that changed after a revision.
 std::string WriteProbe(const std::string& prefix, int64_t above_revision);
 
-// Asks for a watch on a prefix from above a revision.
+// A request for a watch on a prefix that starts after a revision.
 std::string WriteWatch(const std::string& prefix, int64_t after_revision);
 
-// An answer to either request body. Anything that isn't one is no reply: the
-// transaction may have run, whatever came back.
+// Decode a response; nullopt if it is invalid, in which case the transaction
+// may still have been applied.
 std::optional<StoreReply> ReadTransactionReply(const std::string& body);
 std::optional<StoreReply> ReadRangeReply(const std::string& body);
 
-// One message of a watch's stream.
+// One message of a watch stream.
 struct WatchMessage {
   int64_t revision = 0;
   bool created = false;
-  bool cancelled = false;  // compacted away, or ended by the service
+  bool cancelled = false;  // revision compacted, or ended by the service
   std::string reason;
   std::vector<StoreChange> changes;
 };
 
-// Reads one line of the stream.
+// Decodes one line of the stream; kPlatformDown if the service reports an error
+// or the line has no revision.
 Result<WatchMessage> ReadWatchMessage(const std::string& line);
 
 }  // namespace hickorystand
--- a/packages/platform/etcd_store.cc
+++ b/packages/platform/etcd_store.cc
@@ -1,8 +1,9 @@
-// The "etcd-json" plug-in: the published etcd v3 JSON gateway over HTTP.
+// The "etcd-json" key-value store: a client of the public etcd v3 JSON gateway
+// over HTTP.
 //
 // Index
-//   EtcdCalls   one call over several addresses, and what its failure means
-//   EtcdWatch   one watch, and how it notices that it has gone silent
+//   EtcdCalls   sends calls, with failover between addresses and backoff
+//   EtcdWatch   one watch, with detection of dead connections
 //   EtcdStore   the plug-in
 
 #include <algorithm>
@@ -24,40 +25,42 @@
 
 constexpr std::string_view kPart = "store";
 
-// An outage's first wait and its longest. Short, as a lease must be renewed
-// soon after the service is back.
+// Backoff during an outage. Short, because a lease must be renewed soon after
+// the service has recovered.
 constexpr Duration kFirstWait = std::chrono::milliseconds(50);
 constexpr Duration kLongestWait = std::chrono::seconds(1);
 
-// Failures in a row after which transactions are refused without a try.
+// Consecutive failures after which transactions fail without being sent until
+// the backoff delay has passed.
 constexpr int kFailuresToStop = 3;
 
-// How often a quiet watch is checked, how long an event may come late, and how
-// many checks may fail in a row.
+// Probes of an idle watch: their period, how late an event may arrive after a
+// probe has found its change, and the consecutive failures that end the watch.
 constexpr Duration kProbePeriod = std::chrono::seconds(1);
 constexpr Duration kProbeGrace = std::chrono::milliseconds(500);
 constexpr int kProbeFailures = 3;
 
-// The longest line that a watch takes; a longer one ends it, and the state is
-// read anew.
+// The longest line accepted from a watch stream. A longer one ends the watch,
+// after which the caller reads the state again.
 constexpr size_t kMaxWatchLine = size_t{32} << 20;
 constexpr Duration kNoLimit = std::chrono::hours(24 * 365);
 
-// Statuses by which the service says for certain that it did nothing. Others,
-// such as 500 and 503, also come when it gave up waiting for its own members
-// while the write went on.
+// Whether a status means that the request certainly had no effect. Others, such
+// as 500 and 503, are also sent when the service timed out on its own members
+// while the write continued.
 bool SurelyRefused(int status) {
   return status >= 400 && status < 500 && status != SOUP_STATUS_REQUEST_TIMEOUT;
 }
 
-// One request body with its path, and what it counts as.
+// A request; `read` also selects the metric that counts it.
 struct EtcdRequest {
   std::string path;
   std::string body;
-  bool read = false;  // changes nothing, so it may be sent twice
+  bool read = false;  // read-only, so it may be sent twice
 };
 
-// Sends calls to whichever address answers.
+// Sends calls to the preferred address and fails over to the next address after
+// an error. Shared by a store and its watches.
 class EtcdCalls {
  public:
   explicit EtcdCalls(const KeyValueStoreOptions& options)
@@ -72,7 +75,8 @@
     this->preferred = (this->preferred + 1) % this->options.addresses.size();
   }
 
-  // Whether an outage is known and the next try is not due yet.
+  // Whether the service is unavailable and the backoff delay has not passed
+  // yet.
   bool Waiting() const {
     return this->backoff.Failures() >= kFailuresToStop &&
            this->clock.Now() < this->next_try;
@@ -99,8 +103,8 @@
   Duration Timeout() const { return this->options.timeout; }
 
  private:
-  // Tries one address. The next one is tried when it is certain that nothing
-  // was sent, or when sending twice does no harm.
+  // Sends to one address. On failure, tries the next one if nothing was sent or
+  // if the request is read-only.
   void Try(const EtcdRequest& request,
            Instant deadline,
            size_t left,
@@ -159,13 +163,13 @@
   LogLimiter limiter{3, std::chrono::seconds(10)};
 };
 
-// One watch. The service sends nothing while nothing changes, so a connection
-// that has gone silent for good looks like a quiet one: keys revoked
-// meanwhile would stay good on this host. So a quiet watch is checked: a read
-// asks which keys changed above the last revision seen; one that did, and whose
-// event doesn't come within a grace, shows that the watch is dead. Records
-// deleted meanwhile don't show in the check; what is watched is never deleted
-// unseen, as whoever depends on that reads it before it acts.
+// One watch. The service sends nothing while nothing changes, so a dead
+// connection looks like an idle one, and API keys that were revoked meanwhile
+// would remain valid on this host. Therefore an idle watch is probed: a read
+// asks for keys that changed after the last revision received. If there is one
+// and its event does not arrive within the grace period, the watch is dead.
+// Probes don't detect deleted records; code that depends on a deletion reads
+// the record before it acts.
 class EtcdWatch final : public StoreWatch {
  public:
   using OnChange =
@@ -226,8 +230,9 @@
   }
 
  private:
-  // Closes the connection, which goes with the last pointer to the stream. A
-  // lost watch would otherwise wait on at the service, which bills it.
+  // Closes the connection, which happens when the last pointer to the stream is
+  // released. Otherwise a lost watch would stay open at the service, which
+  // bills for it.
   void Close() {
     if (this->stream) {
       this->stream->Cancel();
@@ -235,7 +240,7 @@
     }
   }
 
-  // Splits the stream into its lines.
+  // Appends received bytes and processes the complete lines.
   void Take(std::string_view bytes) {
     this->partial += bytes;
     size_t start = 0;
@@ -297,7 +302,7 @@
     if (!changed) {
       if (++this->failures >= kProbeFailures) {
         this->Lose(
-            {ErrorKind::kPlatformDown, "the watch can't be checked", {}});
+            {ErrorKind::kPlatformDown, "the probes of the watch failed", {}});
       }
       return;
     }
@@ -309,13 +314,15 @@
     }
     this->grace = Timer::After(kProbeGrace, [this, due = newest->mod_revision] {
       if (this->seen < due) {
-        this->Lose({ErrorKind::kTimeout, "the watch has gone silent", {}});
+        this->Lose({ErrorKind::kTimeout,
+                    "the watch missed a change that a probe found",
+                    {}});
       }
     });
   }
 
-  // Ends the watch. The callback may destroy it, so it comes last and from a
-  // timer of its own.
+  // Ends the watch and reports the error once. The callback may destroy the
+  // watch, so it is called last and from a separate timer.
   void Lose(const Error& error) {
     if (!std::exchange(this->lost, true)) {
       LogWarning(kPart, "A watch was lost.",
@@ -333,23 +340,24 @@
 
   std::shared_ptr<EtcdCalls> calls;
   std::string prefix;
-  int64_t seen;  // highest revision of an event that came
+  int64_t seen;  // highest revision of the events received
   OnChange on_change;
   std::function<void(Error)> on_lost;
   std::shared_ptr<bool> alive;
   HttpClient client;
   HttpExchangePtr stream;
-  std::string partial;  // a line whose end has not come yet
+  std::string partial;  // an incomplete line
   std::unique_ptr<Timer> check;
   std::unique_ptr<Timer> grace;
   std::unique_ptr<Timer> ending;
   bool created = false;
-  bool quiet = false;  // nothing came since the last look
+  bool quiet = false;  // no message since the last timer tick
   bool lost = false;
   int failures = 0;
 };
 
-// A lease's answer, or why there is none.
+// Decodes the response to a lease call; kNotFound if the lease has expired,
+// kTimeout if the call may have had an effect.
 Result<Json> ReadLeaseReply(const JsonReply& reply) {
   if (reply.outcome != JsonOutcome::kAnswered) {
     return Fail(reply.outcome == JsonOutcome::kNotSent
@@ -477,8 +485,8 @@
     return read.value_or(StoreReply{.outcome = StoreOutcome::kUnknown});
   }
 
-  // Refuses a transaction during an outage, without a call and not before the
-  // caller has returned.
+  // Fails a transaction during an outage without sending it. The callback runs
+  // from a timer, after the caller has returned.
   void AnswerLater(std::function<void(StoreReply)> done) {
     const uint64_t ticket = ++this->tickets;
     this->refusals[ticket] =
--- a/packages/platform/json_client.cc
+++ b/packages/platform/json_client.cc
@@ -6,15 +6,15 @@
 namespace hickorystand {
 namespace {
 
-// A whole configuration fits: 64 buckets of a megabyte, in base64.
+// Large enough for a whole configuration: 64 buckets of 1 MB each, in base64.
 constexpr size_t kMaxReply = size_t{96} << 20;
 
-// Limits a call whose timeout restarts on progress to this many timeouts.
+// A call whose timeout restarts on progress takes at most this many timeouts.
 constexpr int kMaxTimeoutFactor = 4;
 
 }  // namespace
 
-// One call under way.
+// A call in progress.
 struct JsonClient::Pending {
   SocketAddress address;
   std::function<void(JsonReply)> done;
@@ -36,14 +36,15 @@
 
 void JsonClient::Send(JsonRequest request,
                       std::function<void(JsonReply)> done) {
-  assert(done && "a call needs somebody to answer to");
+  assert(done && "a call needs a callback");
   const uint64_t id = ++this->last_id;
   auto& call = *(this->pending[id] = std::make_unique<Pending>());
   call.address = request.address;
   call.done = std::move(done);
   call.timeout = request.timeout;
   call.on_progress = std::move(request.on_progress);
-  // The deadline of the whole call rules; no phase may end it before.
+  // The limits of the phases are longer than the deadline of the whole call, so
+  // that only the deadline ends it.
   const HttpTimeouts patience{.connect = request.timeout * 2,
                               .first_byte = request.timeout * 2,
                               .between_bytes = request.timeout * 2};
@@ -102,14 +103,15 @@
     this->End(id, std::move(reply));
     return;
   }
-  this->End(id, {.outcome = end == HttpEnd::kNotSent ? JsonOutcome::kNotSent
-                                                     : JsonOutcome::kUnknown,
-                 .error = detail.empty() ? "the answer is not whole" : detail});
+  this->End(id,
+            {.outcome = end == HttpEnd::kNotSent ? JsonOutcome::kNotSent
+                                                 : JsonOutcome::kUnknown,
+             .error = detail.empty() ? "the answer is incomplete" : detail});
 }
 
-// The time is up. Open connections can go silent for good while new ones work;
-// those that wait idle beside this one are likely as dead, so none of them is
-// used again.
+// Ends a call that timed out. Existing connections can be dead while new ones
+// work, and then the idle connections to the same address are probably dead
+// too, so none of them is reused.
 void JsonClient::GiveUp(uint64_t id) {
   const Pending& call = *this->pending.at(id);
   const bool sent = call.exchange->MayHaveSent();
@@ -120,7 +122,7 @@
              .error = "no answer in time"});
 }
 
-// Forgets a call and answers it. The callback may destroy this client.
+// Removes a call and calls its callback, which may destroy this client.
 void JsonClient::End(uint64_t id, JsonReply reply) {
   const auto call = this->pending.extract(id);
   call.mapped()->done(std::move(reply));
--- a/packages/platform/json_client.h
+++ b/packages/platform/json_client.h
@@ -1,5 +1,14 @@
-// Calls to the platform with JSON both ways, each within one time limit, and
-// above all what is known when one fails: whether it can have taken effect.
+// Client for JSON over HTTP, for calls to the platform. Each call has one
+// timeout, and a failed call reports whether it can have had an effect.
+//
+//   client.Send({.address = address, .target = "/usage", .body = body},
+//               [](const JsonReply& reply) { ... });
+//
+// Index
+//   JsonRequest   a call
+//   JsonOutcome   how a call ended
+//   JsonReply     the outcome with status and body
+//   JsonClient    sends calls
 
 #pragma once
 
@@ -17,7 +26,7 @@
 
 namespace hickorystand {
 
-// One call.
+// A call.
 struct JsonRequest {
   SocketAddress address;
   std::string method = "POST";
@@ -28,34 +37,35 @@
   bool idempotent = false;                     // may be sent twice
   // Called for each part of the answer that arrives. If set, each part restarts
   // the timeout, up to four times its length in total, so that a large answer
-  // is not cut off on a slow link.
+  // on a slow link does not time out.
   std::function<void()> on_progress;
-  // Asked in the step that hands bytes to the socket; false stops them.
+  // Called immediately before bytes are written to the socket; returning false
+  // prevents the write.
   std::function<bool()> may_send;
 };
 
 // How a call ended.
 enum class JsonOutcome {
-  kAnswered,  // a whole answer came, whatever its status
-  kNotSent,   // no byte of the request left this host
-  kUnknown,   // it may have been received; no whole answer came
+  kAnswered,  // a complete answer was received, of any status
+  kNotSent,   // no byte of the request was sent
+  kUnknown,   // may have been received; no complete answer
 };
 
-// What came of it.
+// The result of a call.
 struct JsonReply {
   JsonOutcome outcome = JsonOutcome::kUnknown;
   int status = 0;     // kAnswered only
   std::string body;   // kAnswered only
-  std::string error;  // why it was not answered, for people
+  std::string error;  // why there is no answer, for people
 
-  // The call was done, by its status.
+  // Whether an answer with a 2xx status was received.
   bool Succeeded() const {
     return this->outcome == JsonOutcome::kAnswered && this->status / 100 == 2;
   }
 };
 
-// Sends calls, and answers them on the task that made it. Destroying it drops
-// the calls under way, whose callbacks are then never called.
+// Sends calls. Callbacks run on the task that created the client. Destroying
+// the client cancels the calls in progress without calling their callbacks.
 class JsonClient {
  public:
   JsonClient();
@@ -63,7 +73,7 @@
   JsonClient(const JsonClient&) = delete;
   JsonClient& operator=(const JsonClient&) = delete;
 
-  // Sends one call; `done` is called once, never before this returns.
+  // Sends one call. `done` is called once, never before this function returns.
   void Send(JsonRequest request, std::function<void(JsonReply)> done);
 
  private:
--- a/packages/platform/key_value_store.h
+++ b/packages/platform/key_value_store.h
@@ -1,8 +1,17 @@
-// The platform's key-value service, as the rest of the program uses it.
+// Interface of clients of the platform's key-value service; implementations are
+// plug-ins.
 //
-// All calls return at once and answer later by calling back on the task that
-// made the call. A call that can't be answered in time ends as
-// StoreOutcome::kUnknown, or kNotApplied when it surely took no effect.
+// All calls return immediately and report their result through a callback on
+// the task that made the call. A call without an answer within the timeout ends
+// as StoreOutcome::kUnknown, or kNotApplied if it certainly had no effect.
+//
+//   auto store = (*Registry<KeyValueStore>::Find("etcd-json"))(options);
+//   store->Transact(transaction, [](const StoreReply& reply) { ... });
+//
+// Index
+//   KeyValueStoreOptions      options of a client
+//   KeyValueStore             transactions, leases and watches
+//   StoreWatch, StoreChange   a watch and the changes that it reports
 
 #pragma once
 
@@ -20,7 +29,7 @@
 
 namespace hickorystand {
 
-// One change that a watch saw. `deleted` leaves the record's value empty.
+// One change reported by a watch. A deleted record has an empty value.
 struct StoreChange {
   StoreRecord record;
   bool deleted = false;
@@ -28,23 +37,24 @@
   bool operator==(const StoreChange&) const = default;
 };
 
-// A watch that ends when this handle is destroyed.
+// Handle of a watch; destroying it ends the watch.
 class StoreWatch {
  public:
   virtual ~StoreWatch() = default;
 };
 
-// How a store client is made.
+// Options of a store client.
 struct KeyValueStoreOptions {
-  std::vector<SocketAddress> addresses;  // tried in turn
+  std::vector<SocketAddress> addresses;  // for failover, in order
   Duration timeout = std::chrono::seconds(2);
-  // Counts store_reads_total, store_writes_total and store_watches_waiting:
-  // the service bills each call, a waiting watch as one. May be null.
+  // Receives store_reads_total, store_writes_total and store_watches_waiting:
+  // the service bills each call, and an open watch as one. May be null.
   Metrics* metrics = nullptr;
-  uint64_t seed = 1;  // of the jitter in retries
+  uint64_t seed = 1;  // of the retry jitter
 };
 
-// Client of the key-value service. Belongs to the task that made it.
+// Client of the key-value service. It may be used only on the task that created
+// it.
 class KeyValueStore {
  public:
   static constexpr const char* kPluginKind = "key-value store";
@@ -66,22 +76,24 @@
     this->Transact(transaction, std::move(done));
   }
 
-  // Asks for a new lease; answers its id.
+  // Creates a lease and returns its id.
   virtual void GrantLease(Duration length,
                           std::function<void(Result<int64_t>)> done) = 0;
 
-  // Renews a lease; answers the length left, or kNotFound when it has expired.
+  // Renews a lease. Returns its remaining length, or kNotFound if it has
+  // expired.
   virtual void RenewLease(int64_t lease,
                           std::function<void(Result<Duration>)> done) = 0;
 
-  // Gives a lease up, which deletes the records bound to it.
+  // Revokes a lease, which deletes the records attached to it.
   virtual void RevokeLease(int64_t lease,
                            std::function<void(Result<int64_t>)> done) = 0;
 
-  // Watches all keys with a prefix for changes above `after_revision`. Every
-  // batch comes with the service's revision. `on_lost` is called once when the
-  // watch broke, was silent for too long or fell behind; it is then dead, and
-  // the caller reads anew before it watches again.
+  // Watches all keys with a prefix for changes after `after_revision`. Every
+  // batch of changes has the service's revision. `on_lost` is called once if
+  // the connection fails, the watch is silent for too long or it falls behind.
+  // The watch has then ended, and the caller must read the state again before
+  // it starts another watch.
   virtual std::unique_ptr<StoreWatch> Watch(
       const std::string& prefix,
       int64_t after_revision,
--- a/packages/platform/platform_client.cc
+++ b/packages/platform/platform_client.cc
@@ -22,7 +22,7 @@
   if (reply.Succeeded()) {
     return PlatformOutcome::kAccepted;
   }
-  // A server error may follow after the effect.
+  // A server error may occur after the request has taken effect.
   return reply.status >= kServerErrors || reply.status == kTimeoutStatus
              ? PlatformOutcome::kUnknown
              : PlatformOutcome::kRefused;
@@ -34,13 +34,13 @@
   }
   const Result<Json> json = Json::Parse(reply.body);
   if (!json || !json->IsArray()) {
-    return Fail(ErrorKind::kBadRequest, "The host list is no array.");
+    return Fail(ErrorKind::kBadRequest, "The host list is not an array.");
   }
   std::vector<PlatformHost> hosts;
   for (const Json& item : json->Items()) {
     const auto address = ParseAddress(item.At("address").Text());
     const std::string host = item.At("host").Text();
-    // One line that can't be read must not hide the others.
+    // Skip invalid entries, so that one of them doesn't hide the others.
     if (!address || host.empty()) {
       continue;
     }
--- a/packages/platform/platform_client.h
+++ b/packages/platform/platform_client.h
@@ -1,6 +1,9 @@
-// Client of the platform's interfaces beside its key-value service: orders for
-// endpoints, usage reports, and the list of hosts. JSON over HTTP; the bodies
-// stand in docs/ENDPOINTS.md.
+// Client of the platform's interfaces other than the key-value service: orders
+// for endpoints, usage reports and the list of hosts. JSON over HTTP;
+// docs/ENDPOINTS.md describes the bodies.
+//
+//   PlatformClient platform({.address = address});
+//   platform.ListHosts([](const auto& hosts) { ... });
 
 #pragma once
 
@@ -16,31 +19,31 @@
 
 namespace hickorystand {
 
-// Where the platform is.
+// Address of the platform and the timeout of a call.
 struct PlatformClientOptions {
   SocketAddress address;
   Duration timeout = std::chrono::seconds(2);
 };
 
-// A line of the platform's host list, which lags.
+// An entry of the platform's host list, which may be out of date.
 struct PlatformHost {
   HostId host;
   DataCentreId data_centre;
-  SocketAddress address;  // towards peers
+  SocketAddress address;  // for connections from peers
   bool leaving = false;
 
   auto operator<=>(const PlatformHost&) const = default;
 };
 
-// What became of an order or a report.
+// The result of an order or a report.
 enum class PlatformOutcome {
   kAccepted,
-  kRefused,  // for good; it has no effect
-  kNotSent,  // no byte left this host
+  kRefused,  // permanently; it has no effect
+  kNotSent,  // no byte was sent
   kUnknown,  // it may have been received
 };
 
-// Calls the platform. Lives on the task that made it.
+// Calls the platform. Callbacks run on the task that created the client.
 class PlatformClient {
  public:
   using MaySend = std::function<bool()>;
@@ -49,8 +52,9 @@
   explicit PlatformClient(const PlatformClientOptions& options)
       : options(options) {}
 
-  // Orders endpoints. The order's id is the token that makes a repeat of it
-  // harmless. `may_send` is asked in the step that hands bytes to the socket.
+  // Orders endpoints. The order's id is the token that makes repeating the
+  // order idempotent. `may_send` is called immediately before bytes are written
+  // to the socket; returning false prevents the write.
   void OrderEndpoints(const DataCentreId& data_centre,
                       const Order& order,
                       int64_t fencing,
