--- a/packages/kernel/backoff.h
+++ b/packages/kernel/backoff.h
@@ -25,12 +25,12 @@
 
   // Records a failure and returns the delay before the next attempt.
   Duration Next() {
-    const Duration whole =
+    const Duration delay =
         std::min(this->limit, this->first * (int64_t{1} << this->failures));
     this->failures = std::min(this->failures + 1, kMaxDoublings);
-    std::uniform_int_distribution<int64_t> spread(whole.count() / 2,
-                                                  whole.count());
-    return Duration(spread(this->random));
+    std::uniform_int_distribution<int64_t> jitter(delay.count() / 2,
+                                                  delay.count());
+    return Duration(jitter(this->random));
   }
 
   // Records a success: the next delay starts from `first` again.
--- a/packages/kernel/json.cc
+++ b/packages/kernel/json.cc
@@ -48,9 +48,9 @@
   int64_t value = 0;
   const auto [end, error] =
       std::from_chars(text.data(), text.data() + text.size(), value);
-  const bool whole =
+  const bool parsed =
       error == std::errc() && end == text.data() + text.size() && !text.empty();
-  return whole ? std::optional(value) : std::nullopt;
+  return parsed ? std::optional(value) : std::nullopt;
 }
 
 }  // namespace
--- a/packages/kernel/registry.h
+++ b/packages/kernel/registry.h
@@ -29,10 +29,10 @@
   // Registers a plug-in during static initialisation. Always returns true, so
   // that the call can initialise a namespace-scope constant.
   static bool Add(std::string name, Factory factory) {
-    const auto [where, fresh] =
+    const auto [where, inserted] =
         Table().emplace(std::move(name), std::move(factory));
-    assert(fresh && "two plug-ins registered the same name");
-    return fresh || where != Table().end();
+    assert(inserted && "two plug-ins registered the same name");
+    return inserted || where != Table().end();
   }
 
   // The factory of a plug-in; null if no plug-in has that name.
--- a/packages/kernel/settings.cc
+++ b/packages/kernel/settings.cc
@@ -199,9 +199,10 @@
       settings.values[full] = rule.fallback;
       continue;
     }
-    if (const std::string why = CheckValue(rule, entry->value); !why.empty()) {
+    if (const std::string problem = CheckValue(rule, entry->value);
+        !problem.empty()) {
       faults.Add(entry->line,
-                 "[" + rule.section + "] " + rule.key + ": " + why);
+                 "[" + rule.section + "] " + rule.key + ": " + problem);
     }
     settings.values[full] = entry->value;
   }
@@ -253,9 +254,9 @@
   const auto number = ParseShare(text.substr(0, digits));
   const auto unit =
       std::ranges::find(kUnits, text.substr(digits), &Unit::suffix);
-  constexpr double kMost = 100.0 * 365 * 24 * 3600;  // seconds
+  constexpr double kMaxSeconds = 100.0 * 365 * 24 * 3600;  // 100 years
   if (!number || unit == kUnits.end() ||
-      *number * ToSeconds(unit->length) > kMost) {
+      *number * ToSeconds(unit->length) > kMaxSeconds) {
     return Fail(ErrorKind::kBadSetting,
                 "'" + std::string(text) + "' is not a length of time");
   }
@@ -264,14 +265,14 @@
 }
 
 Result<SocketAddress> ParseAddress(std::string_view text) {
-  const auto bad = [&] {
+  const auto invalid = [&] {
     return Fail(ErrorKind::kBadSetting,
                 "'" + std::string(text) +
                     "' is not allowed; IP:PORT or [IPv6]:PORT is");
   };
   const size_t colon = text.rfind(':');
   if (colon == std::string_view::npos) {
-    return bad();
+    return invalid();
   }
   std::string host(text.substr(0, colon));
   const bool bracketed =
@@ -283,11 +284,11 @@
       g_inet_address_new_from_string(host.c_str());
   const auto port = ParseInteger(text.substr(colon + 1));
   if (address == nullptr || !port || *port < 1 || *port > UINT16_MAX) {
-    return bad();
+    return invalid();
   }
   const bool ipv6 = g_inet_address_get_family(address) == G_SOCKET_FAMILY_IPV6;
   if (ipv6 != bracketed) {
-    return bad();
+    return invalid();
   }
   return SocketAddress{host, static_cast<uint16_t>(*port)};
 }
--- a/packages/kernel/task.cc
+++ b/packages/kernel/task.cc
@@ -99,10 +99,10 @@
 
 gboolean Timer::OnFire(gpointer self) {
   auto* timer = static_cast<Timer*>(self);
-  const bool again = timer->repeat;
+  const bool repeats = timer->repeat;
   const Work call = timer->fire;  // copied, since `fire` may destroy the timer
   call();
-  return again ? G_SOURCE_CONTINUE : G_SOURCE_REMOVE;
+  return repeats ? G_SOURCE_CONTINUE : G_SOURCE_REMOVE;
 }
 
 }  // namespace hickorystand
--- a/packages/platform/etcd_store.cc
+++ b/packages/platform/etcd_store.cc
@@ -107,23 +107,24 @@
   // if the request is read-only.
   void Try(const EtcdRequest& request,
            Instant deadline,
-           size_t left,
+           size_t attempts_left,
            std::function<void(JsonReply)> done) {
-    const Duration rest =
+    const Duration remaining =
         std::max(deadline - this->clock.Now(), Duration(1000));
-    JsonRequest call{
-        .address = this->Preferred(),
-        .target = request.path,
-        .body = request.body,
-        .timeout = request.read ? rest / static_cast<int64_t>(left) : rest,
-        .idempotent = request.read};
+    JsonRequest call{.address = this->Preferred(),
+                     .target = request.path,
+                     .body = request.body,
+                     .timeout = request.read ? remaining / static_cast<int64_t>(
+                                                               attempts_left)
+                                             : remaining,
+                     .idempotent = request.read};
     if (request.read) {
       // An empty handler is enough: setting one restarts the timeout whenever
       // data arrives, so a large response is not cut off on a slow link.
       call.on_progress = [] {};
     }
     this->client.Send(
-        std::move(call), [this, request, deadline, left,
+        std::move(call), [this, request, deadline, attempts_left,
                           done = std::move(done)](const JsonReply& reply) {
           const bool answered = reply.outcome == JsonOutcome::kAnswered;
           if (answered && reply.status < SOUP_STATUS_INTERNAL_SERVER_ERROR) {
@@ -132,10 +133,10 @@
             return;
           }
           this->AvoidPreferred();
-          const bool again =
+          const bool retry =
               reply.outcome == JsonOutcome::kNotSent || request.read;
-          if (again && left > 1 && this->clock.Now() < deadline) {
-            this->Try(request, deadline, left - 1, done);
+          if (retry && attempts_left > 1 && this->clock.Now() < deadline) {
+            this->Try(request, deadline, attempts_left - 1, done);
             return;
           }
           this->NoteFailure(reply);
@@ -312,13 +313,14 @@
     if (newest == changed->records.end()) {
       return;
     }
-    this->grace = Timer::After(kProbeGrace, [this, due = newest->mod_revision] {
-      if (this->seen < due) {
-        this->Lose({ErrorKind::kTimeout,
-                    "the watch missed a change that a probe found",
-                    {}});
-      }
-    });
+    this->grace = Timer::After(
+        kProbeGrace, [this, expected_revision = newest->mod_revision] {
+          if (this->seen < expected_revision) {
+            this->Lose({ErrorKind::kTimeout,
+                        "the watch missed a change that a probe found",
+                        {}});
+          }
+        });
   }
 
   // Ends the watch and reports the error once. The callback may destroy the
@@ -491,7 +493,7 @@
     const uint64_t ticket = ++this->tickets;
     this->refusals[ticket] =
         Timer::After(Duration::zero(), [this, ticket, done = std::move(done)] {
-          const auto keep = this->refusals.extract(ticket);
+          const auto running_timer = this->refusals.extract(ticket);
           done({.outcome = StoreOutcome::kNotApplied});
         });
   }
--- a/packages/platform/json_client.cc
+++ b/packages/platform/json_client.cc
@@ -45,14 +45,14 @@
   call.on_progress = std::move(request.on_progress);
   // The limits of the phases are longer than the deadline of the whole call, so
   // that only the deadline ends it.
-  const HttpTimeouts patience{.connect = request.timeout * 2,
-                              .first_byte = request.timeout * 2,
-                              .between_bytes = request.timeout * 2};
-  const auto give_up = [this, id] { this->GiveUp(id); };
-  call.deadline = Timer::After(request.timeout, give_up);
+  const HttpTimeouts phase_timeouts{.connect = request.timeout * 2,
+                                    .first_byte = request.timeout * 2,
+                                    .between_bytes = request.timeout * 2};
+  const auto on_timeout = [this, id] { this->GiveUp(id); };
+  call.deadline = Timer::After(request.timeout, on_timeout);
   if (call.on_progress) {
     call.overall_deadline =
-        Timer::After(request.timeout * kMaxTimeoutFactor, give_up);
+        Timer::After(request.timeout * kMaxTimeoutFactor, on_timeout);
   }
   HttpClientRequest outgoing{.address = request.address,
                              .method = std::move(request.method),
@@ -61,7 +61,7 @@
                              .content_type = "application/json",
                              .body = std::move(request.body),
                              .once = !request.idempotent,
-                             .timeouts = patience,
+                             .timeouts = phase_timeouts,
                              .may_send = std::move(request.may_send)};
   call.exchange = this->client.Send(
       std::move(outgoing),
