--- a/packages/kernel/error.h
+++ b/packages/kernel/error.h
@@ -10,7 +10,8 @@
 //   ErrorKind              what went wrong
 //   ErrorAnswer            how a kind is reported to callers
 //   Error, Result, Fail    an error, a value or an error, and making an error
-//   AnswerFor              looks up the answer for a kind
+//   AnswerFor              the answer for a kind
+//   AllErrorAnswers        the answers for all kinds
 
 #pragma once
 
