--- a/fakes/engine.cc
+++ b/fakes/engine.cc
@@ -135,7 +135,7 @@
   return out.EndObject().Text();
 }
 
-// The number of a query such as after=12.
+// Returns the number in a query such as after=12; 0 if there is none.
 int64_t QueryNumber(const std::string& query) {
   const size_t equals = query.find('=');
   return equals == std::string::npos
@@ -291,7 +291,8 @@
     this->fault = {};
   }
   if (this->runs.size() >= kMaxRuns) {
-    this->runs.clear();  // a bench counts elsewhere
+    // Bounds memory in benchmarks, which count runs themselves.
+    this->runs.clear();
     stream.record = 0;
   }
   this->runs.push_back(
@@ -358,14 +359,15 @@
   for (const Generation& generation : this->batch.Step()) {
     this->GiveToken(generation);
   }
-  // A process that dies takes its other streams along; not within the loop,
-  // whose calls it ends.
+  // A crash of the process ends all streams. It is carried out after the loop
+  // because it ends calls that the loop uses.
   if (std::exchange(this->crashing, false)) {
     this->Crash();
   }
 }
 
-// While a request waits, comments show that the connection is alive.
+// Sends SSE comments, so that a client whose request is queued can tell that
+// the connection is alive.
 void FakeEngine::KeepAlive() {
   for (const auto& [key, stream] : this->streams) {
     if (stream.streamed && !stream.silent) {
@@ -399,7 +401,8 @@
   }
 }
 
-// Lets the fault of a stream strike if its time has come; true if it ended.
+// Injects the fault of a stream once enough tokens are generated. Returns true
+// if the stream gets no further tokens.
 bool FakeEngine::Strike(const std::string& key,
                         Stream& stream,
                         int64_t generated) {
--- a/fakes/engine.h
+++ b/fakes/engine.h
@@ -1,11 +1,16 @@
-// A stand-in for a model engine: the whole protocol of docs/ENDPOINTS.md on a
-// loopback port, with faults that tests and people can switch on.
+// Stand-in for a model engine: implements the whole protocol of
+// docs/ENDPOINTS.md on a loopback port, with faults that can be injected by
+// tests or over HTTP.
 //
 //   FakeEngine engine({.id = "e1"});
 //   engine.SetFault({.kind = EngineFault::kCrashStream, .after_tokens = 3});
 //
-// The text that it generates follows from the prompt alone, so that a resumed
-// answer can be compared with one that was never broken.
+// The generated text depends on the prompt only, so that tests can compare a
+// resumed answer with an uninterrupted one.
+//
+// Besides the protocol it answers
+//   POST /admin/fault {"kind":"crash_stream","after_tokens":3,"times":1}
+//   GET  /admin/runs
 
 #pragma once
 
@@ -25,21 +30,22 @@
 
 namespace hickorystand::fakes {
 
-// What goes wrong with a completion.
+// Faults that can be injected into a completion.
 enum class EngineFault {
   kNone,
   kCrashStream,   // resets the connection
   kCrashProcess,  // resets all connections and stops listening
   kSilent,        // sends nothing more and leaves the connection open
-  kWrongHead,     // echoes another request's id
+  kWrongHead,     // response headers carry another request's id
   kWrongChunk,    // sends a chunk of another request's answer
-  kTruncate,      // ends the answer in order, but without [DONE]
+  kTruncate,      // ends the HTTP response cleanly, but without [DONE]
   kErrorEvent,    // sends an error event
-  kNotRun,        // refuses the request as not run
-  kReject,        // says that the request itself is bad
+  kNotRun,        // answers 503 with code not_run; nothing was generated
+  kReject,        // answers 400: the request itself is invalid
 };
 
-// A fault, when it strikes, and how often.
+// A fault to inject: into the next `times` completions, each after it has
+// generated `after_tokens` tokens.
 struct FaultOrder {
   EngineFault kind = EngineFault::kNone;
   int64_t after_tokens = 0;
@@ -48,23 +54,24 @@
   bool operator==(const FaultOrder&) const = default;
 };
 
-// How an engine is set.
+// Settings of an engine.
 struct EngineOptions {
   std::string id = "engine";
   SocketAddress listen{"127.0.0.1", 0};
-  Duration step = std::chrono::milliseconds(1);
+  Duration step = std::chrono::milliseconds(1);  // period of batch steps
   BatchOptions batch;
-  bool fences = true;
-  std::string poison;  // a prompt that holds this text crashes the process
+  bool fences = true;  // refuses orders with an outdated fencing number
+  std::string poison;  // a prompt that contains this text crashes the process
 };
 
-// The token with a given number of the answer to a prompt.
+// Returns one token of the answer to a prompt; `number` counts from 0.
 std::string TokenText(std::string_view prompt, int64_t number);
 
-// The whole answer to a prompt.
+// Returns the first `tokens` tokens of the answer to a prompt.
 std::string AnswerText(std::string_view prompt, int64_t tokens);
 
-// The engine, on a task of its own. Its calls may come from any thread.
+// The engine. It runs on its own task; public functions may be called from any
+// thread.
 class FakeEngine {
  public:
   explicit FakeEngine(EngineOptions options = {});
@@ -74,28 +81,29 @@
 
   SocketAddress Address() const { return this->address; }
 
-  // What goes wrong with the completions that begin from now on.
+  // Sets the fault of completions that start after this call.
   void SetFault(FaultOrder fault);
   void SetLeaving(bool leaving);
 
-  // All completions that reached it, oldest first.
+  // All completion requests received, oldest first. Cleared at 200,000 records.
   std::vector<RunRecord> Runs();
   std::vector<BookedOrder> Orders();
 
-  // Listens again after a crash of the process, as another incarnation.
+  // Ends all streams if the process has not crashed already, empties the cache,
+  // and listens again on the same port as a new incarnation.
   void Restart();
 
  private:
-  // A completion that is being answered.
+  // A completion in progress.
   struct Stream {
     HttpCallPtr call;
-    size_t record = 0;
+    size_t record = 0;  // index in `runs`
     std::string prompt;
     bool chat = false;
     bool streamed = false;
     bool with_usage = false;
     FaultOrder fault;
-    std::string text;  // of a whole answer
+    std::string text;  // generated so far, if the answer is not streamed
     bool silent = false;
   };
 
--- a/fakes/engine_batch.cc
+++ b/fakes/engine_batch.cc
@@ -65,7 +65,8 @@
   }
 }
 
-// The prompt tokens that the cache holds; the rest is cached from now on.
+// Returns the number of prompt tokens found in the cache, and caches the whole
+// prompt.
 int64_t EngineBatch::UseCache(const std::vector<uint64_t>& pieces) {
   const auto missing = std::ranges::find_if(pieces, [this](uint64_t piece) {
     return !this->cache_index.contains(piece);
--- a/fakes/engine_batch.h
+++ b/fakes/engine_batch.h
@@ -1,5 +1,9 @@
-// The inside of a stand-in engine: continuous batching, prefill, and a prefix
-// cache of limited size, by steps and without any I/O.
+// Model of the batching inside a stand-in engine: continuous batching, prefill,
+// and an LRU prefix cache of limited size. Advances in steps; does no I/O.
+//
+//   EngineBatch batch({.capacity = 2});
+//   batch.Add({.key = "1", .prompt_tokens = 8, .tokens_wanted = 4});
+//   for (const Generation& generation : batch.Step()) { ... }
 
 #pragma once
 
@@ -11,30 +15,30 @@
 
 namespace hickorystand::fakes {
 
-// How fast and how large an engine is.
+// Speed and size of an engine.
 struct BatchOptions {
-  int64_t capacity = 32;                // requests at once
-  int64_t prefill_tokens_a_step = 512;  // shared by those that are prefilled
+  int64_t capacity = 32;                // requests that run at the same time
+  int64_t prefill_tokens_a_step = 512;  // shared by all requests in prefill
   int64_t cache_pieces = 4096;
 
   bool operator==(const BatchOptions&) const = default;
 };
 
-// One generation that the batch works on.
+// A generation, queued or running.
 struct Generation {
   std::string key;
-  bool batch = false;  // waits behind those that are not
+  bool batch = false;  // queued behind all requests that are not batch
   int64_t prompt_tokens = 0;
   int64_t tokens_wanted = 0;
-  int64_t next_token = 0;    // the number of the next token to generate
+  int64_t next_token = 0;    // index of the next token to generate
   int64_t prefill_left = 0;  // prompt tokens not computed yet
   int64_t cached_tokens = 0;
-  std::vector<uint64_t> pieces;  // of the prompt
+  std::vector<uint64_t> pieces;  // prefix hashes of the prompt
 
   bool Done() const { return this->next_token >= this->tokens_wanted; }
 };
 
-// A change of the prefix cache.
+// A change of the prefix cache. Sequence numbers start at 1.
 struct CacheChange {
   int64_t sequence = 0;
   std::vector<uint64_t> added;
@@ -43,8 +47,9 @@
   bool operator==(const CacheChange&) const = default;
 };
 
-// Runs generations in steps: each step prefills some tokens, and gives one
-// token to each that is past its prefill.
+// Runs generations in steps. Each step admits queued generations up to the
+// capacity, prefills up to `prefill_tokens_per_step` tokens, and generates one
+// token for each generation whose prefill is complete.
 class EngineBatch {
  public:
   explicit EngineBatch(BatchOptions options) : options(options) {}
@@ -52,11 +57,11 @@
   // Queues a generation.
   void Add(Generation generation);
 
-  // Takes a generation out, wherever it is.
+  // Removes a generation, whether queued or running.
   void Remove(const std::string& key);
 
-  // One step; returns those that got a token, with next_token still being the
-  // number of that token.
+  // Runs one step. Returns the generations that got a token; their next_token
+  // is the index of that token.
   std::vector<Generation> Step();
 
   int64_t Running() const { return static_cast<int64_t>(this->running.size()); }
--- a/fakes/engine_command.cc
+++ b/fakes/engine_command.cc
@@ -1,4 +1,4 @@
-// `fakes engine`: a stand-in model engine as a program.
+// Subcommand `fakes engine`: runs a stand-in model engine.
 
 #include "engine.h"
 #include "subcommand.h"
--- a/fakes/key_value.cc
+++ b/fakes/key_value.cc
@@ -17,8 +17,8 @@
 constexpr int64_t kMaxBody = int64_t{96} << 20;
 constexpr Duration kExpiryPeriod = std::chrono::milliseconds(20);
 
-// Members that the gateway leaves out at their default are written out here;
-// readers must take both.
+// The real gateway omits members that have their default value. The stand-in
+// writes most of them. Clients must accept both forms.
 void WriteHeader(int64_t revision, JsonWriter& out) {
   out.Name("header").BeginObject();
   out.Member("revision", std::to_string(revision)).EndObject();
@@ -100,7 +100,7 @@
 
 }  // namespace
 
-// The HTTP side. Lives on the task's thread only.
+// The HTTP server and the state. Used on the task's thread only.
 class FakeKeyValue::Server {
  public:
   explicit Server(const SocketAddress& listen)
@@ -147,11 +147,11 @@
  private:
   struct Watch {
     std::string prefix;
-    int64_t sent = 0;  // all changes up to this revision were sent
+    int64_t sent = 0;  // all changes up to this revision have been sent
     bool silent = false;
   };
 
-  // Switches faults and tells the counters, whatever the fault.
+  // Sets faults and reports the counters; not affected by faults.
   void Control(const HttpCallPtr& call) {
     static const std::map<std::string, KeyValueFault> kFaults = {
         {"none", KeyValueFault::kNone},
@@ -372,7 +372,7 @@
     this->FeedWatches();
   }
 
-  // Sends each watch what it has not been sent yet.
+  // Sends each watch the changes that it has not received yet.
   void FeedWatches() {
     for (auto& [call, watch] : this->watches) {
       if (watch.silent || this->fault == KeyValueFault::kSilentWatch) {
@@ -411,7 +411,8 @@
   std::unique_ptr<Timer> expiry;
   uint64_t tickets = 0;
   std::map<uint64_t, std::unique_ptr<Timer>> delays;
-  HttpServer http;  // last, so that its calls end before what they use
+  // Last, so that its calls end before the members that they use.
+  HttpServer http;
 };
 
 FakeKeyValue::FakeKeyValue(const SocketAddress& listen) {
--- a/fakes/key_value.h
+++ b/fakes/key_value.h
@@ -1,10 +1,10 @@
-// Stand-in for the platform's key-value service: the etcd v3 JSON gateway on a
-// loopback port, with switches for its faults and counters of its calls.
+// Stand-in for the platform's key-value service: implements the etcd v3 JSON
+// gateway on a loopback port, with injectable faults and counters of calls.
 //
 //   FakeKeyValue store;
 //   store.SetFault(KeyValueFault::kReplyLost);
 //
-// As a program it takes faults over HTTP too:
+// Faults can also be set, and counters read, over HTTP:
 //   POST /fake/fault {"fault":"none|down|slow|reply_lost|unavailable|
 //                              silent_watch","slow_by_ms":200}
 //   GET /fake/calls
@@ -21,30 +21,31 @@
 
 namespace hickorystand::fakes {
 
-// What is wrong with the service just now.
+// Faults that can be injected into the service.
 enum class KeyValueFault {
   kNone,
-  kDown,         // connections are cut before any call is handled
-  kSlow,         // every answer comes `slow_by` late
-  kReplyLost,    // after a write took effect its connection is cut
-  kUnavailable,  // answers 503 and does nothing
-  kSilentWatch,  // watches are confirmed and then never say anything
+  kDown,         // resets connections before a call is handled
+  kSlow,         // delays every answer by `slow_by`
+  kReplyLost,    // resets the connection after a write took effect
+  kUnavailable,  // answers 503 without executing the call
+  kSilentWatch,  // confirms watches, but sends no events
 };
 
-// Calls since the start. The real service bills them.
+// Numbers of calls since the start; the real service bills each call.
 struct KeyValueCalls {
   int64_t reads = 0;
   int64_t writes = 0;
   int64_t watches = 0;          // opened
-  int64_t watches_waiting = 0;  // open now; each counts as a call
+  int64_t watches_waiting = 0;  // open now; each is billed as a call
 
   bool operator==(const KeyValueCalls&) const = default;
 };
 
-// The service, on a task of its own. Its calls may come from any thread.
+// The service. It runs on its own task; public functions may be called from any
+// thread.
 class FakeKeyValue {
  public:
-  // Listens on an address of loopback; port 0 picks a free one.
+  // Listens on a loopback address; port 0 picks a free port.
   explicit FakeKeyValue(const SocketAddress& listen = {"127.0.0.1", 0});
   ~FakeKeyValue();
   FakeKeyValue(const FakeKeyValue&) = delete;
@@ -52,17 +53,18 @@
 
   SocketAddress Address() const;
 
-  // Sets what is wrong from now on. Watches open now are cut by kDown only.
+  // Sets the fault of later calls. kDown also resets the open watches;
+  // kSilentWatch silences them for good; the other faults do not affect them.
   void SetFault(KeyValueFault fault,
                 Duration slow_by = std::chrono::milliseconds(200));
 
   KeyValueCalls Calls();
 
-  // The state, to be put back later as an old backup, or to be looked at.
+  // Copies the state, for inspection or to restore it later as an old backup.
   KeyValueState Backup();
   void Restore(const KeyValueState& state);
 
-  // Runs a transaction past the network and all faults.
+  // Executes a transaction directly, bypassing the network and all faults.
   StoreReply Transact(const StoreTransaction& transaction);
 
  private:
--- a/fakes/key_value_state.h
+++ b/fakes/key_value_state.h
@@ -1,7 +1,7 @@
-// The records, leases and revisions of a stand-in key-value service, without
-// any I/O. Follows the published etcd v3 semantics as far as they are used:
-// every write raises the revision by one, a transaction is one write, a record
-// that goes with its lease is a deletion at a new revision.
+// The records, leases and revisions of a stand-in key-value service; does no
+// I/O. Follows the published etcd v3 semantics as far as hickorystand uses
+// them: every write raises the revision by one, a transaction counts as one
+// write, and the records of an ended lease are deleted at a new revision.
 
 #pragma once
 
@@ -18,27 +18,29 @@
 
 namespace hickorystand::fakes {
 
-// The whole service's state; a copy is a backup of it.
+// The complete state of the service; a copy is a backup.
 class KeyValueState {
  public:
-  // Runs a transaction at once.
+  // Executes a transaction.
   StoreReply Transact(const StoreTransaction& transaction);
 
-  // The records of one key or of a prefix that changed at or above a revision.
+  // Returns the record of a key, or the records of all keys with a prefix, that
+  // last changed at or above a revision.
   std::vector<StoreRecord> Read(const std::string& key,
                                 bool prefix,
                                 int64_t least_revision = 0) const;
 
-  // Grants, renews and revokes leases. Renewing one that is gone answers
-  // nothing.
+  // Grant, renew and revoke leases. Renew returns the lease's length, or
+  // nullopt if there is no such lease. Revoke deletes the lease's records, and
+  // returns false if there is no such lease.
   int64_t Grant(Duration length, Instant now);
   std::optional<Duration> Renew(int64_t lease, Instant now);
   bool Revoke(int64_t lease);
 
-  // Ends the leases whose time has passed, with their records.
+  // Revokes the leases that have expired.
   void Expire(Instant now);
 
-  // All changes above a revision to keys with a prefix, oldest first.
+  // Returns the changes above a revision to keys with a prefix, oldest first.
   std::vector<StoreChange> Changes(const std::string& prefix,
                                    int64_t above_revision) const;
 
--- a/fakes/main.cc
+++ b/fakes/main.cc
@@ -1,4 +1,4 @@
-// The program `fakes`: stand-ins for what surrounds hickorystand.
+// Program `fakes`: runs stand-ins for the systems that hickorystand talks to.
 
 #include <glib-unix.h>
 
--- a/fakes/order_book.cc
+++ b/fakes/order_book.cc
@@ -43,7 +43,7 @@
   const std::string id = json->At("id").Text();
   const auto known = std::ranges::find(this->orders, id, &BookedOrder::id);
   if (known != this->orders.end()) {
-    AnswerState(call, *known);  // the same order again has no further effect
+    AnswerState(call, *known);
     return nullptr;
   }
   const int64_t fencing = json->At("fencing").Integer();
--- a/fakes/order_book.h
+++ b/fakes/order_book.h
@@ -1,5 +1,5 @@
-// The orders of one stand-in endpoint, with or without a check of the fencing
-// number.
+// The orders accepted by a stand-in endpoint, with an optional check of the
+// fencing number; and helpers to answer an endpoint's requests.
 
 #pragma once
 
@@ -12,7 +12,7 @@
 
 namespace hickorystand::fakes {
 
-// One order that was accepted.
+// An accepted order.
 struct BookedOrder {
   std::string id;
   int64_t fencing = 0;
@@ -23,13 +23,16 @@
   bool operator==(const BookedOrder&) const = default;
 };
 
-// Accepts orders and lists them.
+// Handles the requests that send and list orders. Resending an order has no
+// further effect.
 class OrderBook {
  public:
-  // Whether an order with an older fencing number is refused.
+  // Whether an order whose fencing number is below the highest accepted one is
+  // refused with 409.
   bool fences = true;
 
-  // POST /v1/orders; returns the order if it is new.
+  // POST /v1/orders. Returns the order if it is accepted and new, else nullptr.
+  // The pointer is valid until the next call.
   const BookedOrder* Take(const HttpCallPtr& call);
 
   // GET /v1/orders
@@ -42,10 +45,10 @@
   std::vector<BookedOrder> orders;
 };
 
-// Answers with a JSON document, echoing the ids of the request.
+// Answers with a JSON document and the headers of EchoHeaders().
 void AnswerJson(const HttpCallPtr& call, int status, const JsonWriter& out);
 
-// The headers that an endpoint must send back.
+// Returns the request and attempt ids, which an endpoint must send back.
 HttpHeaders EchoHeaders(const HttpRequest& request);
 
 }  // namespace hickorystand::fakes
--- a/fakes/plain_command.cc
+++ b/fakes/plain_command.cc
@@ -1,4 +1,4 @@
-// `fakes plain`: a stand-in plain service as a program.
+// Subcommand `fakes plain`: runs a stand-in plain service.
 
 #include "plain_service.h"
 #include "subcommand.h"
--- a/fakes/plain_service.h
+++ b/fakes/plain_service.h
@@ -1,12 +1,14 @@
-// A stand-in for a plain service that files petitions and looks them up:
+// Stand-in for a plain service, one that serves no model: it files petitions
+// and looks them up.
 //
 //   POST /petitions          files one; not idempotent
 //   GET  /petitions/N        its status
-//   GET  /petitions          how many there are
-//   GET  /large?bytes=N      an answer of that size
+//   GET  /petitions          the number of petitions
+//   GET  /large?bytes=N      an answer of N bytes, at most 64 MiB
+//   POST /admin/fault        {"kind":"not_run","times":1}
 //
-// It keeps no duplicates apart, as the real one doesn't: each POST that reaches
-// it is a filing with fees.
+// Like the real service it does not detect duplicates: each POST that it
+// receives is a separate filing, for which fees are charged.
 
 #pragma once
 
@@ -21,24 +23,25 @@
 
 namespace hickorystand::fakes {
 
-// What goes wrong with a call.
+// Faults that can be injected into a call.
 enum class PlainFault {
   kNone,
-  kCrashAfterRun,   // does the work, then resets the connection
-  kSilentAfterRun,  // does the work, then never answers
-  kHalfAnswer,      // does the work, then resets within the answer's body
-  kWrongId,         // does the work, and echoes another request's id
-  kNotRun,          // refuses as not run
+  kCrashAfterRun,   // executes the call, then resets the connection
+  kSilentAfterRun,  // executes the call, then never answers
+  kHalfAnswer,      // executes the call, then resets in the middle of the body
+  kWrongId,         // executes the call, and answers with another request's id
+  kNotRun,          // answers 503 with code not_run, without executing the call
 };
 
-// How a service is set.
+// Settings of a service.
 struct PlainOptions {
   std::string id = "plain";
   SocketAddress listen{"127.0.0.1", 0};
   Duration delay{};  // of each answer
 };
 
-// The service, on a task of its own. Its calls may come from any thread.
+// The service. It runs on its own task; public functions may be called from any
+// thread.
 class FakePlainService {
  public:
   explicit FakePlainService(PlainOptions options = {});
@@ -48,13 +51,13 @@
 
   SocketAddress Address() const { return this->address; }
 
-  // What goes wrong with the next `times` calls.
+  // Sets the fault of the next `times` calls.
   void SetFault(PlainFault fault, int64_t times = INT64_MAX);
 
-  // All calls that reached it, oldest first.
+  // All calls received, oldest first. Cleared at 200,000 records.
   std::vector<RunRecord> Runs();
 
-  // The texts filed, in order.
+  // The bodies of the petitions filed, oldest first.
   std::vector<std::string> Petitions();
 
  private:
--- a/fakes/platform.cc
+++ b/fakes/platform.cc
@@ -64,7 +64,7 @@
 
 }  // namespace
 
-// The HTTP side. Lives on the task's thread only.
+// The HTTP server and the state. Used on the task's thread only.
 class FakePlatform::Server {
  public:
   explicit Server(const SocketAddress& listen)
@@ -142,7 +142,8 @@
     const auto known =
         std::ranges::find(this->orders, order.token, &PlatformOrder::token);
     if (known != this->orders.end()) {
-      // A successor sends the same order under its own fencing number.
+      // A new lease holder resends the order with its own fencing number, so
+      // the fencing number is not compared.
       PlatformOrder same = *known;
       same.fencing = order.fencing;
       this->offences.changed_orders += same == order ? 0 : 1;
@@ -185,7 +186,8 @@
   std::map<std::string, int64_t> order_fencing;   // highest by data centre
   std::map<std::string, int64_t> report_fencing;  // highest by data centre
   std::unique_ptr<Timer> later;
-  HttpServer http;  // last, so that its calls end before what they use
+  // Last, so that its calls end before the members that they use.
+  HttpServer http;
 };
 
 FakePlatform::FakePlatform(const SocketAddress& listen) {
--- a/fakes/platform.h
+++ b/fakes/platform.h
@@ -1,9 +1,13 @@
-// Stand-in for the platform's interfaces beside its key-value service: orders
-// for endpoints, usage reports and the list of hosts.
+// Stand-in for the platform's interfaces other than its key-value service:
+// orders for endpoints, usage reports and the list of hosts.
 //
-// It takes whatever comes, as the real one does: it checks no fencing number,
-// and knows a repeated order by its token alone. What should never have come
-// is counted, for tests to look at.
+//   FakePlatform platform;
+//   platform.SetFault(PlatformFault::kReplyLost);
+//
+// Like the real platform it accepts any order and report: it does not check
+// fencing numbers, and recognises a repeated order by its token only. Protocol
+// violations are counted, so that tests can check that there were none; over
+// HTTP GET /fake/offences returns their sum.
 
 #pragma once
 
@@ -20,15 +24,15 @@
 
 namespace hickorystand::fakes {
 
-// What is wrong with the platform just now.
+// Faults that can be injected into the platform.
 enum class PlatformFault {
   kNone,
-  kDown,       // connections are cut before anything is done
-  kReplyLost,  // orders and reports are taken, their connections are cut
-  kRefusing,   // answers 409 and does nothing
+  kDown,       // resets connections before a request is handled
+  kReplyLost,  // accepts an order or report, then resets the connection
+  kRefusing,   // answers orders and reports with 409, without effect
 };
 
-// An order as it came.
+// An order as received.
 struct PlatformOrder {
   std::string data_centre;
   std::string token;
@@ -41,7 +45,7 @@
   auto operator<=>(const PlatformOrder&) const = default;
 };
 
-// A report as it came.
+// A usage report as received.
 struct PlatformReport {
   std::string data_centre;
   int64_t window = 0;
@@ -51,12 +55,12 @@
   bool operator==(const PlatformReport&) const = default;
 };
 
-// What should never have come.
+// Numbers of requests that violate the protocol.
 struct PlatformOffences {
-  int64_t changed_orders = 0;   // a token again, with another order
-  int64_t deposed_orders = 0;   // fencing below one seen at that data centre
-  int64_t changed_reports = 0;  // a window again, with other figures
-  int64_t deposed_reports = 0;  // a new window's fencing below one seen
+  int64_t changed_orders = 0;   // token reused for a different order
+  int64_t deposed_orders = 0;   // fencing number below data centre's highest
+  int64_t changed_reports = 0;  // window reported again, figures differ
+  int64_t deposed_reports = 0;  // new window, fencing number below highest
 
   int64_t Sum() const {
     return this->changed_orders + this->deposed_orders + this->changed_reports +
@@ -65,10 +69,11 @@
   auto operator<=>(const PlatformOffences&) const = default;
 };
 
-// The platform, on a task of its own. Its calls may come from any thread.
+// The platform. It runs on its own task; public functions may be called from
+// any thread.
 class FakePlatform {
  public:
-  // Listens on an address of loopback; port 0 picks a free one.
+  // Listens on a loopback address; port 0 picks a free port.
   explicit FakePlatform(const SocketAddress& listen = {"127.0.0.1", 0});
   ~FakePlatform();
   FakePlatform(const FakePlatform&) = delete;
@@ -78,16 +83,18 @@
 
   void SetFault(PlatformFault fault);
 
-  // The hosts that the list shows, from `lag` on.
+  // Replaces the list of hosts after `lag`.
   void SetHosts(std::vector<PlatformHost> hosts,
                 Duration lag = Duration::zero());
 
-  // Orders that took effect, each once, and reports by data centre and window.
+  // The orders, oldest first, and the reports, sorted by data centre and
+  // window. Repeats are left out.
   std::vector<PlatformOrder> Orders();
   std::vector<PlatformReport> Reports();
   PlatformOffences Offences();
 
-  // Requests that reached it, repeats and faults included.
+  // The number of requests received, including repeats and requests that a
+  // fault affected.
   int64_t Received();
 
  private:
--- a/fakes/platform_command.cc
+++ b/fakes/platform_command.cc
@@ -1,4 +1,4 @@
-// `fakes kv` and `fakes platform`: the platform's stand-ins as programs.
+// Subcommands `fakes kv` and `fakes platform`: run the platform's stand-ins.
 
 #include <iostream>
 #include <sstream>
@@ -17,7 +17,7 @@
   return 0;
 }
 
-// Reads ID,DATA-CENTRE,IP:PORT;...
+// Parses ID,DATA-CENTRE,IP:PORT;... into `hosts`.
 bool ReadHosts(const std::string& text, std::vector<PlatformHost>& hosts) {
   std::istringstream in(text);
   for (std::string item; std::getline(in, item, ';');) {
--- a/fakes/run_record.h
+++ b/fakes/run_record.h
@@ -1,5 +1,5 @@
-// What a stand-in remembers of the requests that it was sent, so that tests can
-// count what ran.
+// Record of a request that a stand-in received, so that tests can count how
+// often a request was executed.
 
 #pragma once
 
@@ -11,7 +11,7 @@
 
 namespace hickorystand::fakes {
 
-// One request that reached an endpoint.
+// A request received by an endpoint.
 struct RunRecord {
   std::string request;  // X-Request-Id
   std::string attempt;  // X-Attempt
@@ -20,10 +20,10 @@
   HttpHeaders headers;
   std::string body;
   int64_t resume_from = 0;
-  int64_t generated = 0;   // tokens, in this run
-  bool ran = false;        // false: refused as not run
-  bool finished = false;   // its answer was sent to the end
-  bool cancelled = false;  // by order, or because its connection went
+  int64_t generated = 0;   // tokens generated in this run
+  bool ran = false;        // false: refused before execution
+  bool finished = false;   // the whole answer was sent
+  bool cancelled = false;  // by request, or because its connection closed
 
   bool operator==(const RunRecord&) const = default;
 };
--- a/fakes/subcommand.h
+++ b/fakes/subcommand.h
@@ -1,9 +1,8 @@
-// Subcommands of the program `fakes`, which register themselves:
+// Subcommands of the program `fakes`. Each registers itself while static
+// variables are initialised, and runs until SIGTERM or SIGINT:
 //
 //   const bool kRegistered = Subcommand::Add(
-//       {"engine", "Plays a model engine.", &RunEngine});
-//
-// Each runs until it is told to stop by SIGTERM or SIGINT.
+//       {"engine", "a model engine [--id ID]", &RunEngine});
 
 #pragma once
 
@@ -17,22 +16,23 @@
 
 namespace hickorystand::fakes {
 
-// One stand-in as a program.
+// A subcommand, which runs one stand-in.
 struct Subcommand {
   std::string name;
   std::string help;  // one line
-  // The arguments are those after the name; the result is the exit code.
+  // Receives the arguments after the name; returns the exit code.
   std::function<int(std::span<const std::string> arguments)> run;
 
-  // Registers a subcommand while statics are initialised. Always true.
+  // Registers a subcommand. Always returns true, so that it can initialise a
+  // static variable.
   static bool Add(Subcommand subcommand);
 
-  // All of them, by name.
+  // All subcommands, sorted by name.
   static const std::vector<Subcommand>& All();
 };
 
-// Values of options given as --NAME VALUE. Unknown names, and names without a
-// value, end the program with a message.
+// Options given as --NAME VALUE. An unknown name, or a name without a value,
+// ends the program with exit code 2 and an error message.
 class Options {
  public:
   Options(std::span<const std::string> arguments,
@@ -41,14 +41,15 @@
   std::string Text(std::string_view name,
                    const std::string& fallback = "") const;
   int64_t Integer(std::string_view name, int64_t fallback) const;
-  // --listen IP:PORT, which is required.
+  // Returns the address of --listen IP:PORT, which is required.
   SocketAddress Listen() const;
 
  private:
   std::vector<std::pair<std::string, std::string>> values;
 };
 
-// Prints where the stand-in listens, and waits for SIGTERM or SIGINT.
+// Prints the address that the stand-in listens on, and waits for SIGTERM or
+// SIGINT.
 void RunUntilStopped(const SocketAddress& listening);
 
 }  // namespace hickorystand::fakes
