--- a/fakes/key_value.cc
+++ b/fakes/key_value.cc
@@ -18,7 +18,7 @@
 constexpr Duration kExpiryPeriod = std::chrono::milliseconds(20);
 
 // The real gateway omits members that have their default value. The stand-in
-// writes most of them. Clients must accept both forms.
+// writes some of them. Clients must accept both forms.
 void WriteHeader(int64_t revision, JsonWriter& out) {
   out.Name("header").BeginObject();
   out.Member("revision", std::to_string(revision)).EndObject();
