--- a/fakes/engine.cc
+++ b/fakes/engine.cc
@@ -206,8 +206,8 @@
   });
 }
 
-void FakeEngine::SetFault(FaultOrder order) {
-  this->task.Call([&] { this->fault = order; });
+void FakeEngine::SetFault(FaultOrder new_fault) {
+  this->task.Call([&] { this->fault = new_fault; });
 }
 
 void FakeEngine::SetLeaving(bool now_leaving) {
@@ -331,12 +331,13 @@
                        Stream stream) {
   const std::string key = std::to_string(++this->next_key);
   const HttpRequest& request = call->Request();
-  const Json newer = body.At("max_completion_tokens");
+  const Json max_completion_tokens = body.At("max_completion_tokens");
   Generation generation{
       .key = key,
       .batch = HeaderOr(request, "X-Priority") == "batch",
       .prompt_tokens = EstimateTokens(stream.prompt),
-      .tokens_wanted = (newer.Exists() ? newer : body.At("max_tokens"))
+      .tokens_wanted = (max_completion_tokens.Exists() ? max_completion_tokens
+                                                       : body.At("max_tokens"))
                            .Integer(kDefaultTokens),
       .next_token = this->runs[stream.record].resume_from,
       .pieces = PrefixHashes(stream.prompt)};
@@ -495,7 +496,7 @@
 // -- Reports and orders ------------------------------------------------------
 
 void FakeEngine::AnswerLoad(const HttpCallPtr& call) {
-  const double steps_a_second = 1 / ToSeconds(this->options.step);
+  const double steps_per_second = 1 / ToSeconds(this->options.step);
   JsonWriter out;
   out.BeginObject();
   out.Member("incarnation", this->incarnation);
@@ -505,10 +506,11 @@
   out.Member("running", this->batch.Running());
   out.Member("capacity", this->options.batch.capacity);
   out.Member("prefill_rate",
-             steps_a_second * static_cast<double>(
-                                  this->options.batch.prefill_tokens_a_step));
-  out.Member("decode_rate", steps_a_second * static_cast<double>(
-                                                 this->options.batch.capacity));
+             steps_per_second * static_cast<double>(
+                                    this->options.batch.prefill_tokens_a_step));
+  out.Member(
+      "decode_rate",
+      steps_per_second * static_cast<double>(this->options.batch.capacity));
   out.Member("cache_pieces", this->options.batch.cache_pieces);
   out.Member("cache_pieces_used", std::ssize(this->batch.CachedPieces()));
   AnswerJson(call, kStatusOk, out.EndObject());
--- a/fakes/key_value.cc
+++ b/fakes/key_value.cc
@@ -115,10 +115,10 @@
     });
   }
 
-  void SetFault(KeyValueFault what, Duration by) {
-    this->fault = what;
-    this->slow_by = by;
-    if (what == KeyValueFault::kDown) {
+  void SetFault(KeyValueFault new_fault, Duration new_delay) {
+    this->fault = new_fault;
+    this->slow_by = new_delay;
+    if (new_fault == KeyValueFault::kDown) {
       const auto open = std::exchange(this->watches, {});
       for (const auto& [call, watch] : open) {
         call->Abort();
--- a/fakes/plain_service.cc
+++ b/fakes/plain_service.cc
@@ -80,8 +80,8 @@
     this->SetFaultByCall(call);
     return;
   }
-  const PlainFault struck = this->fault;
-  if (struck != PlainFault::kNone && --this->times <= 0) {
+  const PlainFault active_fault = this->fault;
+  if (active_fault != PlainFault::kNone && --this->times <= 0) {
     this->fault = PlainFault::kNone;
   }
   if (this->runs.size() >= kMaxRuns) {
@@ -94,24 +94,25 @@
        .target = request.raw_path,
        .headers = request.headers,
        .body = request.body,
-       .ran = struck != PlainFault::kNotRun});
-  if (request.method == "POST" && struck != PlainFault::kNotRun) {
+       .ran = active_fault != PlainFault::kNotRun});
+  if (request.method == "POST" && active_fault != PlainFault::kNotRun) {
     this->petitions.push_back(request.body);
   }
   if (this->options.delay == Duration::zero()) {
-    this->Answer(call, struck);
+    this->Answer(call, active_fault);
     return;
   }
-  this->delayed.push_back(
-      Timer::After(this->options.delay,
-                   [this, call, struck] { this->Answer(call, struck); }));
+  this->delayed.push_back(Timer::After(
+      this->options.delay,
+      [this, call, active_fault] { this->Answer(call, active_fault); }));
 }
 
-void FakePlainService::Answer(const HttpCallPtr& call, PlainFault with) {
+void FakePlainService::Answer(const HttpCallPtr& call,
+                              PlainFault active_fault) {
   const HttpRequest& request = call->Request();
   HttpHeaders headers = EchoHeaders(request);
   headers.push_back({"Content-Type", "application/json"});
-  switch (with) {
+  switch (active_fault) {
     case PlainFault::kCrashAfterRun:
       call->Abort();
       return;
--- a/fakes/plain_service.h
+++ b/fakes/plain_service.h
@@ -62,7 +62,7 @@
 
  private:
   void Handle(const HttpCallPtr& call);
-  void Answer(const HttpCallPtr& call, PlainFault with);
+  void Answer(const HttpCallPtr& call, PlainFault active_fault);
   void AnswerLarge(const HttpCallPtr& call);
   void SetFaultByCall(const HttpCallPtr& call);
 
