--- a/fakes/engine.cc
+++ b/fakes/engine.cc
@@ -135,7 +135,7 @@
   return out.EndObject().Text();
 }
 
-// The number of a query such as after=12.
+// Returns the number in a query such as after=12; 0 if there is none.
 int64_t QueryNumber(const std::string& query) {
   const size_t equals = query.find('=');
   return equals == std::string::npos
@@ -206,8 +206,8 @@
   });
 }
 
-void FakeEngine::SetFault(FaultOrder order) {
-  this->task.Call([&] { this->fault = order; });
+void FakeEngine::SetFault(FaultOrder new_fault) {
+  this->task.Call([&] { this->fault = new_fault; });
 }
 
 void FakeEngine::SetLeaving(bool now_leaving) {
@@ -291,7 +291,8 @@
     this->fault = {};
   }
   if (this->runs.size() >= kMaxRuns) {
-    this->runs.clear();  // a bench counts elsewhere
+    // Bounds memory in benchmarks, which count runs themselves.
+    this->runs.clear();
     stream.record = 0;
   }
   this->runs.push_back(
@@ -330,12 +331,13 @@
                        Stream stream) {
   const std::string key = std::to_string(++this->next_key);
   const HttpRequest& request = call->Request();
-  const Json newer = body.At("max_completion_tokens");
+  const Json max_completion_tokens = body.At("max_completion_tokens");
   Generation generation{
       .key = key,
       .batch = HeaderOr(request, "X-Priority") == "batch",
       .prompt_tokens = EstimateTokens(stream.prompt),
-      .tokens_wanted = (newer.Exists() ? newer : body.At("max_tokens"))
+      .tokens_wanted = (max_completion_tokens.Exists() ? max_completion_tokens
+                                                       : body.At("max_tokens"))
                            .Integer(kDefaultTokens),
       .next_token = this->runs[stream.record].resume_from,
       .pieces = PrefixHashes(stream.prompt)};
@@ -358,14 +360,15 @@
   for (const Generation& generation : this->batch.Step()) {
     this->GiveToken(generation);
   }
-  // A process that dies takes its other streams along; not within the loop,
-  // whose calls it ends.
+  // A crash of the process ends all streams. It is carried out after the loop
+  // because it ends calls that the loop uses.
   if (std::exchange(this->crashing, false)) {
     this->Crash();
   }
 }
 
-// While a request waits, comments show that the connection is alive.
+// Sends SSE comments, so that a client whose request is queued can tell that
+// the connection is alive.
 void FakeEngine::KeepAlive() {
   for (const auto& [key, stream] : this->streams) {
     if (stream.streamed && !stream.silent) {
@@ -399,7 +402,8 @@
   }
 }
 
-// Lets the fault of a stream strike if its time has come; true if it ended.
+// Injects the fault of a stream once enough tokens are generated. Returns true
+// if the stream gets no further tokens.
 bool FakeEngine::Strike(const std::string& key,
                         Stream& stream,
                         int64_t generated) {
@@ -492,7 +496,7 @@
 // -- Reports and orders ------------------------------------------------------
 
 void FakeEngine::AnswerLoad(const HttpCallPtr& call) {
-  const double steps_a_second = 1 / ToSeconds(this->options.step);
+  const double steps_per_second = 1 / ToSeconds(this->options.step);
   JsonWriter out;
   out.BeginObject();
   out.Member("incarnation", this->incarnation);
@@ -502,10 +506,11 @@
   out.Member("running", this->batch.Running());
   out.Member("capacity", this->options.batch.capacity);
   out.Member("prefill_rate",
-             steps_a_second * static_cast<double>(
-                                  this->options.batch.prefill_tokens_a_step));
-  out.Member("decode_rate", steps_a_second * static_cast<double>(
-                                                 this->options.batch.capacity));
+             steps_per_second * static_cast<double>(
+                                    this->options.batch.prefill_tokens_a_step));
+  out.Member(
+      "decode_rate",
+      steps_per_second * static_cast<double>(this->options.batch.capacity));
   out.Member("cache_pieces", this->options.batch.cache_pieces);
   out.Member("cache_pieces_used", std::ssize(this->batch.CachedPieces()));
   AnswerJson(call, kStatusOk, out.EndObject());
