--- a/tests/ctl_test.cc
+++ b/tests/ctl_test.cc
@@ -1,5 +1,5 @@
-// Tests of the operators' client: its commands as functions, against stand-ins
-// of the key-value service and of the hosts' administration interface.
+// Tests of hickoryctl's commands, called as functions, against stand-ins of the
+// key-value service and of the hosts' administration interface.
 
 #include <CppUTest/TestHarness.h>
 
@@ -29,8 +29,8 @@
   return text.find(part) != std::string::npos;
 }
 
-// An entry host's administration interface that follows the configuration at
-// once, unless it is told to stay at a revision.
+// Administration interface of a host. It reports the stored configuration's
+// revision, unless `reported_revision` fixes another one.
 class FakeHost {
  public:
   FakeHost(FakeKeyValue& store, std::string name, std::string data_centre)
@@ -54,9 +54,9 @@
     return this->address.host + ":" + std::to_string(this->address.port);
   }
 
-  std::atomic<int64_t> stays_at = 0;  // 0: follows
+  std::atomic<int64_t> stays_at = 0;  // 0: as stored
   std::atomic<bool> drained = false;
-  std::string limits = "{}";  // of the status; set before the first call
+  std::string limits = "{}";  // in the status; set before the first call
 
  private:
   int64_t Revision() {
@@ -115,7 +115,7 @@
   std::unique_ptr<HttpServer> server;
 };
 
-// A file that is gone with the test.
+// A temporary file, removed by the destructor.
 class TemporaryFile {
  public:
   explicit TemporaryFile(const std::string& text)
@@ -153,7 +153,7 @@
   std::string out;
   std::string error;
 
-  // Runs a command line with the addresses of the stand-ins.
+  // Runs a command line against the stand-ins' addresses.
   int Run(std::vector<std::string> arguments) {
     const std::string store_text =
         "127.0.0.1:" + std::to_string(this->store.Address().port);
@@ -308,8 +308,8 @@
   LONGS_EQUAL(1, bench.InForce()->revision);
 }
 
-// A colleague creates an account at the command line; the files in the
-// repository don't name it yet. An apply of them must not take it away.
+// Guards against an apply that removes an account created at the command line
+// and not yet named in the repository's files.
 TEST(Ctl, ApplyKeepsWhatNoFileNamesUnlessTold) {
   Bench bench;
   bench.Apply();
@@ -331,7 +331,7 @@
   const std::string key = made->At("key").Text();
   const std::string hash = made->At("hash").Text();
   CHECK(bench.InForce()->keys.contains(hash));
-  // Only the hash lies in the service, under whatever name.
+  // The service stores only the hash, and the key under no name.
   for (const StoreRecord& record : bench.store.Backup().Read("/", true)) {
     CHECK(!Contains(record.value, key));
   }
@@ -343,8 +343,8 @@
   LONGS_EQUAL(4, bench.Run({"key", "withdraw", hash.substr(0, 12)}));
 }
 
-// A key is withdrawn while a data centre is cut off from the operators. They
-// must learn that it may still work there, rather than read "done".
+// Guards against a withdrawal that reports success although a data centre is
+// cut off from the operators, so that the key may still work there.
 TEST(Ctl, WithdrawalNamesWhomItCannotReach) {
   Bench bench;
   const TemporaryFile quick("[client]\nwait = 100ms\n");
@@ -414,7 +414,8 @@
   LONGS_EQUAL(4, bench.Run({"account", "use", "other"}));
 }
 
-// A host that hasn't got the configuration yet doesn't limit the account.
+// A host that has not yet received the configuration does not enforce the
+// limit.
 TEST(Ctl, NamesHostsWithoutTheLimit) {
   Bench bench;
   bench.Apply();
@@ -458,8 +459,9 @@
   LONGS_EQUAL(2, bench.Run({"why", "r2&x=1"}));
 }
 
-// The reply to an apply is lost after the service had written it. A client that
-// reports failure has the operator repeat it, or believe it undone.
+// Guards against a change reported as failed because the reply was lost after
+// the service had written it. The operator would repeat it or take it as not
+// made.
 TEST(Ctl, KnowsItsChangeThoughTheReplyWasLost) {
   Bench bench;
   bench.store.SetFault(KeyValueFault::kReplyLost);
@@ -468,9 +470,9 @@
   LONGS_EQUAL(1, bench.InForce()->revision);
 }
 
-// The service was put back to a backup, so that hosts hold a higher revision
-// than it does. A change that counted on from the backup would be ignored by
-// every host, though the operator reads "accepted".
+// Guards against a revision that every host ignores although the change is
+// reported as accepted: after the service is restored from a backup, hosts hold
+// a higher revision than it does.
 TEST(Ctl, ChangesGoAboveWhatHostsHoldAfterABackup) {
   Bench bench;
   bench.Apply();
--- a/tests/daemon_test.cc
+++ b/tests/daemon_test.cc
@@ -1,5 +1,5 @@
-// Tests of a whole entry host: its settings, its page for operators, usage from
-// the caller to the platform, and its planned stop.
+// Tests of a whole host: settings, operators' page, usage from the caller to
+// the platform, and planned stop.
 
 #include <CppUTest/TestHarness.h>
 #include <sched.h>
@@ -22,10 +22,11 @@
 namespace {
 
 constexpr int kBadKeyStatus = 401;
-// Over a second: a host is ready 30 ms after its start on an idle machine.
+// The tries take over a second; on an idle machine a host is ready 30 ms after
+// its start.
 constexpr int kReadyTries = 1000;
 
-// A settings file with the secrets that it names, removed in the end.
+// A settings file and the secrets it names, removed by the destructor.
 class SettingsFile {
  public:
   explicit SettingsFile(const std::string& extra,
@@ -54,8 +55,8 @@
   std::string secret_path = this->path + ".secret";
 };
 
-// A core that some threads keep busy. Whoever enters it is scheduled a time
-// slice late after each wait, and leaves it when the core is destroyed.
+// A CPU core kept busy by spinning threads. A thread bound to it is scheduled
+// one time slice late after each wait; destroying the object releases the core.
 class BusyCore {
  public:
   BusyCore() {
@@ -75,7 +76,6 @@
   BusyCore(const BusyCore&) = delete;
   BusyCore& operator=(const BusyCore&) = delete;
 
-  // Binds the calling thread to the core.
   void Enter() const { sched_setaffinity(0, sizeof this->core, &this->core); }
 
  private:
@@ -91,7 +91,7 @@
                          });
 }
 
-// Generated tokens of all windows that the platform was told.
+// Sum of the generated tokens in all usage windows reported to the platform.
 int64_t GeneratedInReports(fakes::FakePlatform& platform) {
   int64_t sum = 0;
   for (const auto& report : platform.Reports()) {
@@ -119,8 +119,8 @@
   STRCMP_CONTAINS("shorter than 16 bytes", settings.error().message.c_str());
 }
 
-// A margin as long as the lease would end every tenure as it begins, and a
-// margin of nothing would let two holders act; so the range is checked.
+// A margin as long as the lease would end each lease as it begins, and a zero
+// margin would allow two holders at once.
 TEST(HostSettings, RefusesAMarginThatLeavesNoLease) {
   const auto settings =
       SettingsFile("lease_length = 4s\nlease_margin = 2s\n").Load();
@@ -164,10 +164,10 @@
   STRCMP_CONTAINS("\"endpoint\":\"e1\"", why.body.c_str());
 }
 
-// A host answers 503 for hours although it has read the configuration. It
-// started on a busy machine: the control task had read the configuration before
-// the thread that starts the host came to make the gateway, and nobody hands a
-// configuration on twice. Here that thread shares a core with others that spin.
+// Guards against a host that answers 503 for hours although it has read the
+// configuration. On a busy machine the control task reads it before the
+// starting thread has created the gateway, and a configuration is delivered
+// only once. Here the starting thread shares a core with spinning threads.
 TEST(Host, IsReadyHoweverSoonTheStoreAnswers) {
   constexpr int kHosts = 24;
   int ready = 0;
@@ -180,9 +180,10 @@
   LONGS_EQUAL(kHosts, ready);
 }
 
-// A customer is billed for tokens that no engine made, or an engine's work is
-// never billed: counts get lost or doubled between the gateway, the host's
-// meter, the copies at other hosts, the window and the report.
+// Guards against counts that are lost or doubled between the gateway, the
+// host's meter, its copies at other hosts, the window and the report: a client
+// account would be billed for tokens that no engine generated, or work would
+// not be billed.
 TEST(Host, ReportsTheTokensThatEnginesGenerated) {
   HostBed bed(2);
   CHECK(Eventually([&] { return bed.InForce(1); }));
@@ -197,8 +198,8 @@
   LONGS_EQUAL(0, bed.platform.Offences().Sum());
 }
 
-// A stream breaks after three tokens and is resumed. The customer pays for one
-// request and for the tokens that arrived, not for each attempt.
+// A stream breaks after three tokens and is resumed. The client account is
+// billed for one request and the tokens delivered, not for each attempt.
 TEST(Host, ReportsAResumedStreamAsOneRequest) {
   HostBed bed(1);
   CHECK(Eventually([&] { return bed.InForce(1); }));
@@ -217,8 +218,8 @@
   LONGS_EQUAL(1, requests);
 }
 
-// Two callers, or one whose library sends again, file the same petition at two
-// hosts at the same moment. Fees must be due once.
+// Guards against fees due twice: two callers, or one client library that
+// retries, file the same petition at two hosts at the same moment.
 TEST(Host, RunsAFilingOnceThoughTwoHostsGetIt) {
   HostBed bed(2);
   CHECK(Eventually([&] { return bed.InForce(1); }));
@@ -233,9 +234,9 @@
   LONGS_EQUAL(1, bed.plain.Petitions().size());
 }
 
-// A data centre loses its way to the key-value service, but not to the others.
-// A host that starts there must get the configuration from another data centre;
-// before, it had none, and a key withdrawn meanwhile went on working there.
+// A data centre loses its connection to the key-value service, but not to the
+// other data centres. Guards against a host that starts there without a
+// configuration, and against a withdrawn key that goes on working there.
 TEST(Host, GetsTheConfigurationFromAnotherDataCentre) {
   HostBed bed(1);
   CHECK(Eventually([&] { return bed.InForce(1); }));
@@ -243,8 +244,8 @@
   CHECK(Eventually([&] { return bed.InForce(1); }));
 }
 
-// A customer's callers all come through one of two hosts. They must get all of
-// the limit there, and not a request more.
+// All requests of a client account arrive at one of two hosts. That host must
+// admit the whole limit, and not one request more.
 TEST(HostLimits, OneHostServesTheWholeLimit) {
   HostBed bed(2);
   CHECK(Eventually([&] { return bed.InForce(1); }));
@@ -253,8 +254,9 @@
     return !peers.empty() && peers.front().At("incarnation").Integer() > 0;
   }));
   bed.Limit(100, 20);
-  // Of 25 requests (250 ms of the rate) each host keeps a quarter, and the home
-  // the rest. On the way there single looks may show the same.
+  // Of 25 requests (250 ms of the rate) each host keeps a quarter and the home
+  // host the rest. A single sample may show the same figures before that state
+  // is stable.
   constexpr int kLooks = 50;
   int looks = 0;
   CHECK(Eventually([&] {
@@ -287,7 +289,7 @@
       [&] { return metrics().find("limit_share 0.5") != std::string::npos; }));
 }
 
-// A host that can't know how many hosts share the limit lets nothing through.
+// A host that cannot know how many hosts share the limit admits nothing.
 TEST(HostLimits, AHostWithoutAShareRefuses) {
   HostBed bed(1);
   CHECK(Eventually([&] { return bed.InForce(1); }));
@@ -303,8 +305,8 @@
       [&] { return bed.caller.Send(bed.Chat(0, 1)).status == 200; }));
 }
 
-// An operator takes a host out of service while a long answer streams through
-// it. The caller gets the whole answer, and only then does the host stop.
+// A host drains while a long answer streams through it. The caller gets the
+// whole answer before the host stops.
 TEST(Host, FinishesAStreamBeforeItStops) {
   HostBed bed(1);
   CHECK(Eventually([&] { return bed.InForce(1); }));
@@ -319,8 +321,9 @@
 }
 
 TEST_GROUP(HostStop) {
-  // Starts one request of each kind that can be under way: queued, running
-  // without a byte, and half streamed. All of them last until the host stops.
+  // Starts one request of each kind that can be in progress: queued, running
+  // without a byte received, and half streamed. All of them last until the host
+  // stops.
   void StartRequests() {
     CHECK(Eventually([&] { return this->bed.InForce(1); }));
     this->queued = this->bed.caller.Start(
@@ -338,8 +341,9 @@
     }));
   }
 
-  // Reads the stream by a plain socket: HttpClient can't tell a chunked answer
-  // whose connection closes behind its last chunk from one that is cut.
+  // Reads the stream from a plain socket: HttpClient cannot distinguish a
+  // chunked answer whose connection closes after the last chunk from a
+  // truncated one.
   std::future<std::string> ReadRaw(const HttpClientRequest& call) {
     std::string text = call.method + " " + call.target + " HTTP/1.1\r\n";
     for (const auto& [name, value] : call.headers) {
@@ -359,7 +363,7 @@
     });
   }
 
-  // What each of them must be told.
+  // Checks the answer to each of these requests.
   void CheckAnswers() {
     const CallerAnswer refused = this->queued.get();
     LONGS_EQUAL(503, refused.status);
@@ -396,7 +400,8 @@
   this->CheckAnswers();
 }
 
-// The same for a stop without a drain, as after a second signal.
+// Guards against connections that close without an answer when a host stops
+// without a drain, as after a second signal.
 TEST(HostStop, AnswersEveryRequestBeforeAnImmediateStop) {
   this->bed.plain.SetFault(fakes::PlainFault::kSilentAfterRun);
   this->StartRequests();
@@ -404,8 +409,8 @@
   this->CheckAnswers();
 }
 
-// Guards against a petition that is refused as not run, and then, sent again
-// to another host, as a duplicate.
+// Guards against a petition that is refused as not run and then, when sent
+// again to another host, refused as a duplicate.
 TEST(Host, WithdrawsAClaimBeforeItStops) {
   HostBed bed(2, std::chrono::milliseconds(100));
   CHECK(Eventually([&] { return bed.InForce(1); }));
@@ -427,7 +432,8 @@
   LONGS_EQUAL(2, bed.plain.Petitions().size());
 }
 
-// Guards against a stopping host that takes a request and then cuts its answer.
+// Guards against a stopping host that accepts a request and then truncates its
+// answer.
 TEST(Host, RefusesWhatItCannotFinishBeforeItStops) {
   constexpr int kLongTokens = 1500;
   HostBed bed(1, std::chrono::milliseconds(100),
@@ -448,7 +454,8 @@
   LONGS_EQUAL(3, bed.engine.Runs().size());
 }
 
-// Guards against a request that waits until the drain limit for nothing.
+// Guards against a request that stays queued until the drain limit although it
+// can no longer finish in time.
 TEST(Host, RefusesWhatIsQueuedAsSoonAsItCannotBeFinished) {
   HostBed bed(1);
   CHECK(Eventually([&] { return bed.InForce(1); }));
--- a/tests/endpoints_test.cc
+++ b/tests/endpoints_test.cc
@@ -1,5 +1,5 @@
-// Tests of the clients of endpoints, against stand-ins and misbehaving servers
-// on loopback sockets.
+// Tests of the endpoint clients against stand-ins and misbehaving servers on
+// loopback sockets.
 
 #include <CppUTest/TestHarness.h>
 
@@ -21,7 +21,7 @@
 using fakes::EngineFault;
 using fakes::FakeEngine;
 
-// A client on a task of its own, whose calls are waited for.
+// An EndpointClient on its own task, with blocking calls.
 class ClientBed {
  public:
   ClientBed() {
@@ -64,7 +64,7 @@
     return done.get_future().get();
   }
 
-  // What one call of the client answers.
+  // Returns the result of one asynchronous call of the client.
   template <typename T>
   T Ask(const std::function<void(EndpointClient&,
                                  std::function<void(const T&)>)>& question) {
@@ -84,7 +84,6 @@
   AttemptId attempts = 0;
 };
 
-// A call to a plain service.
 AttemptCall PlainCall(const SocketAddress& to, bool once) {
   return {.address = to,
           .method = "POST",
@@ -137,8 +136,8 @@
                   "Content-Length: 2\r\n\r\n{}") == AttemptOutcome::kComplete);
 }
 
-// A service dies between two chunks of its answer. libsoup calls that the end
-// of the body; a caller would be given half a list of petitions as all of it.
+// Guards against a truncated answer passed on as whole: a service crashes
+// between two chunks, and libsoup reports that as the end of the body.
 TEST(Endpoints, AConnectionThatEndsBetweenChunksIsNoWholeAnswer) {
   CHECK(OutcomeOf(kHead + "Transfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n") ==
         AttemptOutcome::kCrashed);
@@ -150,17 +149,17 @@
         AttemptOutcome::kNotSent);
 }
 
-// A service takes a filing, answers it and keeps the connection. When the next
-// filing comes over it the service reads it and dies. An HTTP library that
-// finds a kept connection closed sends the request again, and the petition is
-// filed twice. So a filing never goes over a connection that was used before.
+// Guards against a petition filed twice: a service reads the second filing on a
+// kept-alive connection and crashes, and an HTTP library that finds such a
+// connection closed sends the request again. So a filing never uses a
+// connection that was used before.
 TEST(Endpoints, ANonIdempotentCallIsSentOnce) {
   struct Case {
     const char* method;
     bool once;
     int received;
   };
-  // The third shows what the flag is for: the second call arrives twice.
+  // The third case shows what the flag prevents: the second call arrives twice.
   for (const auto& [method, once, expected] :
        {Case{"POST", true, 2}, Case{"PUT", true, 2}, Case{"POST", false, 3},
         Case{"PUT", false, 2}}) {
@@ -172,7 +171,7 @@
       if (connection == 1) {
         socket.Write(PlainAnswer(1));
         if (!socket.ReadUntil("text").empty()) {
-          ++received;  // over the kept connection; now it closes
+          ++received;  // on the kept-alive connection; then closes
         }
       }
     });
@@ -185,9 +184,9 @@
   }
 }
 
-// A connection takes the request and goes silent for good. The attempt ends,
-// and the next one goes out on a new connection although an idle one of the
-// same age is there.
+// A connection takes the request and never answers. The attempt must time out,
+// and the next one must open a new connection although an idle one of the same
+// age exists.
 TEST(Endpoints, ASilentConnectionAndItsMatesAreLeft) {
   std::atomic<int> connection_of_last = 0;
   std::atomic<bool> silent = false;
@@ -254,8 +253,9 @@
   LONGS_EQUAL(1, engine.Orders().size());
 }
 
-// A holder was paused, another took over and gave its orders. The first wakes
-// and sends its own: an endpoint that fences refuses it.
+// A holder is paused, and another takes over and sends its orders. When the
+// first resumes and sends its own, an endpoint that checks fencing numbers
+// refuses it.
 TEST(Orders, AnOlderFencingNumberIsRefused) {
   FakeEngine engine;
   ClientBed bed;
@@ -267,9 +267,9 @@
   LONGS_EQUAL(1, engine.Orders().size());
 }
 
-// A holder is paused between its decision and its send, and its lease lapses.
-// When it wakes, the check in the step that hands bytes to the socket must stop
-// the order, whichever of the two steps it falls into.
+// A holder is paused between its decision and its send, and its lease expires.
+// The check in the step that writes bytes to the socket must stop the order,
+// whichever of the two steps the pause falls into.
 TEST(Orders, NoOrderLeavesWithoutPermission) {
   for (const int allowed : {0, 1}) {
     FakeEngine engine;
@@ -330,8 +330,8 @@
                     "\ndata: " + std::string(60, 'x') + "\n"));
 }
 
-// Truncated and mutated streams and chunks must be read or refused, never
-// crash, and never give an event that stands beyond the damage for whole.
+// Truncated and mutated streams and chunks must be parsed or refused without a
+// crash, and no event after the damage may count as whole.
 TEST(Sse, SurvivesDamage) {
   constexpr int kRounds = 20'000;
   const std::string chunk =
--- a/tests/gateway_bed.h
+++ b/tests/gateway_bed.h
@@ -1,5 +1,16 @@
-// A gateway, stand-in endpoints and a caller on loopback sockets, for tests and
-// benches.
+// Test bed for the request path, for tests and benches: a gateway on loopback
+// sockets, a caller, and helpers to add stand-in endpoints.
+//
+//   CallerAnswer    what a caller received
+//   Caller          an HTTP client with blocking calls
+//   Eventually()    polls a condition
+//   GatewayBed      one host's gateway with its configuration, claims and
+//   limits
+//
+//   FakeEngine engine;
+//   GatewayBed bed;
+//   bed.AddEngine("e1", engine.Address());
+//   const CallerAnswer answer = bed.caller.Send(bed.Chat("hello", true));
 
 #pragma once
 
@@ -23,7 +34,7 @@
 
 namespace hickorystand {
 
-// What a caller got.
+// What a caller received.
 struct CallerAnswer {
   HttpEnd end = HttpEnd::kNotSent;
   int status = 0;
@@ -35,7 +46,7 @@
   }
 };
 
-// One exchange with a server, waited for.
+// An HTTP client on its own task, with blocking calls.
 class Caller {
  public:
   Caller() {
@@ -48,7 +59,7 @@
     });
   }
 
-  // Starts an exchange; the future gives its end.
+  // Starts an exchange; the future is set when it ends.
   std::future<CallerAnswer> Start(HttpClientRequest outgoing) {
     auto answer = std::make_shared<CallerAnswer>();
     auto done = std::make_shared<std::promise<CallerAnswer>>();
@@ -76,14 +87,14 @@
     return this->Start(std::move(outgoing)).get();
   }
 
-  // What has arrived of the exchange started last.
+  // What has been received so far of the exchange started last.
   CallerAnswer Arrived() {
     CallerAnswer arrived;
     this->task.Call([&] { arrived = *this->last_answer; });
     return arrived;
   }
 
-  // Hangs up the exchange started last.
+  // Closes the caller's side of the exchange started last.
   void HangUp() {
     this->task.Call([this] { this->last->Cancel(); });
   }
@@ -92,11 +103,11 @@
   Task task{"caller"};
   std::unique_ptr<HttpClient> client;
   HttpExchangePtr last;
-  std::shared_ptr<const CallerAnswer> last_answer;  // read on the task only
+  std::shared_ptr<const CallerAnswer> last_answer;  // read only on the task
 };
 
-// Waits until a condition holds; false if it never does within the tries, which
-// are a millisecond and the condition's own time apart.
+// Polls until the condition holds, every millisecond plus the time of the
+// condition itself. Returns false if it does not hold within `tries` calls.
 inline bool Eventually(const std::function<bool()>& condition,
                        int tries = 20'000) {
   for (int i = 0; i < tries; ++i) {
@@ -108,10 +119,11 @@
   return false;
 }
 
-// One entry host's gateway with its surroundings.
+// The gateway of one host, with its configuration. The bed answers the
+// gateway's claim and limit requests and collects its usage records.
 class GatewayBed {
  public:
-  // Environment variable that names the dispatcher under test.
+  // Environment variable that selects the dispatcher under test.
   static constexpr const char* kDispatcherVariable = "HICKORYSTAND_DISPATCHER";
   static constexpr const char* kKey = "sk-test-alpha-0123456789";
   static constexpr const char* kOtherKey = "sk-test-beta-0123456789";
@@ -153,7 +165,7 @@
     this->task.Call([this] { this->gateway.reset(); });
   }
 
-  // Adds an endpoint; they are used in the order of their names.
+  // Adds an engine. Endpoints are used in the order of their names.
   void AddEngine(const std::string& id, const SocketAddress& at) {
     this->AddEndpoint(id, "m", at);
   }
@@ -161,31 +173,32 @@
     this->AddEndpoint(id, "filing", at);
   }
 
-  // How often the dispatcher under test tries a request.
+  // Maximum number of attempts that the dispatcher under test makes per
+  // request.
   static int64_t MostTries() {
     return std::getenv(kDispatcherVariable) == nullptr ? 3 : 4;
   }
 
-  // Sets a limit of the first account in tokens.
+  // Sets a token limit on the first client account.
   void Limit() {
     this->configuration.accounts[AccountId("alpha")].rate = 1000;
     this->Apply();
   }
 
-  // Tokens that count against limits at present.
+  // Tokens that currently count against limits.
   int64_t Charged() {
     return this->Ask<int64_t>(
         [this](Gateway&) { return this->charged_tokens; });
   }
 
-  // Puts the configuration in force.
+  // Applies the configuration to the gateway.
   void Apply() {
     auto next = std::make_shared<Configuration>(this->configuration);
     this->configuration.revision += 1;
     this->task.Call([&] { this->gateway->ApplyConfiguration(next); });
   }
 
-  // A call with a key.
+  // A request with an API key.
   HttpClientRequest Outgoing(const std::string& method,
                              const std::string& target,
                              const std::string& body = "",
@@ -199,7 +212,7 @@
             .once = true};
   }
 
-  // A chat call for some tokens.
+  // A chat request for this many tokens.
   HttpClientRequest Chat(const std::string& prompt,
                          bool stream,
                          int tokens = 8) const {
@@ -210,12 +223,12 @@
             R"(,"messages":[{"role":"user","content":")" + prompt + R"("}]})");
   }
 
-  // The text that a stand-in engine generates for such a call.
+  // The text that a stand-in engine generates for such a request.
   static std::string ChatText(const std::string& prompt, int tokens = 8) {
     return fakes::AnswerText("user\n" + prompt + "\n", tokens);
   }
 
-  // Something of the gateway, fetched on its task.
+  // Evaluates a function on the gateway's task and returns its result.
   template <typename T>
   T Ask(const std::function<T(Gateway&)>& question) {
     T answer{};
@@ -223,14 +236,14 @@
     return answer;
   }
 
-  Configuration configuration;  // changes count from the next Apply()
+  Configuration configuration;  // changes take effect with Apply()
   SocketAddress address;
   Task task{"gateway"};
   BootClock clock;
   Metrics metrics;
   std::unique_ptr<Gateway> gateway;
   Caller caller;
-  std::vector<UsageRecord> usage;  // read on the task only
+  std::vector<UsageRecord> usage;  // read only on the task
   std::map<std::string, RequestId> claims;
   std::vector<std::function<void()>> held_claims;
   bool hold_claims = false;
@@ -238,7 +251,7 @@
   LimitDecision token_answer{.verdict = {.granted = true}};
   std::vector<std::function<void()>> held_token_answers;
   bool hold_tokens = false;
-  int64_t charged_tokens = 0;  // taken and not given back
+  int64_t charged_tokens = 0;  // charged and not refunded
   int64_t cancelled_asks = 0;
   LimitRequest last_ask;
 
--- a/tests/gateway_test.cc
+++ b/tests/gateway_test.cc
@@ -20,7 +20,7 @@
 using fakes::PlainFault;
 using fakes::RunRecord;
 
-// The text of a stream's events, and whether it ended as it must.
+// The text of a stream's events, and whether the stream ended with [DONE].
 struct StreamText {
   std::string text;
   bool done = false;
@@ -63,7 +63,7 @@
   return text.find(part) != std::string::npos;
 }
 
-// A request's head as bytes, for callers that read or write slowly.
+// A request's head as bytes, for callers that send or read slowly.
 std::string RawHead(const std::string& method,
                     const std::string& target,
                     size_t body_bytes = 0,
@@ -79,8 +79,8 @@
 // Run with every dispatcher.
 TEST_GROUP(Gateway){};
 
-// Run with the round-robin dispatcher alone, which queues requests even when no
-// endpoint serves them; the policy refuses those at once.
+// Run with the round-robin dispatcher only, which queues requests even when no
+// endpoint serves them; the policy dispatcher refuses those at once.
 TEST_GROUP(GatewayQueue){};
 
 // Run with every dispatcher.
@@ -112,9 +112,8 @@
 
 // -- Broken answers ----------------------------------------------------------
 
-// An adaptation of a leaflet streams to a reader. After three words the
-// connection to the engine is reset, as its host was reclaimed. The reader must
-// see the text go on as if nothing had happened.
+// After three words the connection to the engine is reset, as when its host is
+// reclaimed. The stream must continue without a visible break.
 TEST(Gateway, ResumesAStreamThatCrashed) {
   FakeEngine first;
   FakeEngine second;
@@ -129,8 +128,8 @@
   LONGS_EQUAL(3, second.Runs().at(0).resume_from);
 }
 
-// An engine ends its answer in order but too early, without the end marker. A
-// reader would take a third of the consent form for all of it.
+// Guards against a truncated answer taken as whole: an engine closes its answer
+// in order, but early and without the end marker.
 TEST(Gateway, ResumesATruncatedStream) {
   FakeEngine first;
   FakeEngine second;
@@ -144,7 +143,7 @@
   CHECK(stream.done);
 }
 
-// The same, for a caller who asked for the answer as a whole.
+// The same for an answer that is not streamed.
 TEST(Gateway, ResumesAWholeAnswer) {
   FakeEngine first;
   FakeEngine second;
@@ -158,7 +157,7 @@
   LONGS_EQUAL(5, second.Runs().at(0).resume_from);
 }
 
-// Every engine breaks the stream. What the reader has must not look like a
+// Every engine breaks the stream. What the caller has must not look like a
 // short but whole answer: an error event follows, and no [DONE].
 TEST(Gateway, EndsAStreamThatCannotBeResumedWithAnError) {
   FakeEngine engine;
@@ -172,9 +171,9 @@
   LONGS_EQUAL(bed.MostTries(), engine.Runs().size());
 }
 
-// A connection to an engine goes silent for good: a device in between has
-// forgotten it. New connections work. The caller gets its answer over one, and
-// the connections of the same age are not used again.
+// A connection to an engine stops passing data because a device on the path has
+// dropped its state; new connections work. The caller must get its answer over
+// a new one, and connections of the same age must not be used again.
 TEST(Gateway, LeavesASilentConnection) {
   FakeEngine engine;
   GatewayBed bed;
@@ -188,8 +187,8 @@
   LONGS_EQUAL(2, engine.Runs().at(1).resume_from);
 }
 
-// Two answers are crossed within an engine: one caller's stream carries a chunk
-// of another's. The chunk must not reach the caller, the rest must.
+// An engine mixes up two answers: one stream carries a chunk of another
+// request. The caller must receive everything but that chunk.
 TEST(Gateway, DropsACrossedChunk) {
   FakeEngine first;
   FakeEngine second;
@@ -204,7 +203,7 @@
   DOUBLES_EQUAL(1, bed.metrics.Value("hickorystand_wrong_answers_total"), 0);
 }
 
-// An answer that bears another request's id from its first line on.
+// An answer that carries another request's id from its first event on.
 TEST(Gateway, DropsAnAnswerToAnotherRequest) {
   FakeEngine first;
   FakeEngine second;
@@ -218,7 +217,8 @@
   DOUBLES_EQUAL(1, bed.metrics.Value("hickorystand_wrong_answers_total"), 0);
 }
 
-// The mutation of the two above: without the check, the other's text passes.
+// Counter-check of the two tests above: without the identity check, the other
+// request's text passes.
 TEST(Gateway, WithoutTheIdentityCheckCrossedAnswersPass) {
   FakeEngine first;
   GatewayOptions options;
@@ -254,9 +254,9 @@
   LONGS_EQUAL(1, service.Petitions().size());
 }
 
-// A member files a petition from a phone. The service takes it and then its
-// connection is reset. Whether it was filed can't be known here: sent again, it
-// could cost double fees. So it isn't, and the member is told where to look.
+// Guards against fees due twice: a service takes a filing and its connection is
+// reset, so whether it was filed is unknown. The filing is not sent again, and
+// the answer says where to look.
 TEST(Gateway, CrashAfterAFilingIsAnsweredAsUnknown) {
   FakePlainService first;
   FakePlainService second;
@@ -273,12 +273,13 @@
   CHECK(Contains(answer.body, "/services/filing/petitions"));
   LONGS_EQUAL(1, first.Petitions().size());
   LONGS_EQUAL(0, second.Petitions().size());
-  // The member presses the button again.
+  // The caller sends the filing again.
   STRCMP_EQUAL("duplicate_request", ErrorCode(bed.caller.Send(call)).c_str());
   LONGS_EQUAL(0, second.Petitions().size());
 }
 
-// As above, where the service never answers, or stops within its answer.
+// The same for a service that never answers, or stops in the middle of its
+// answer.
 TEST(Gateway, SilenceOrHalfAnAnswerAfterAFilingIsAnsweredAsUnknown) {
   for (const PlainFault fault :
        {PlainFault::kSilentAfterRun, PlainFault::kHalfAnswer,
@@ -296,7 +297,7 @@
   }
 }
 
-// A service says that it did not run a filing. It goes to the next one.
+// A service reports that it did not run a filing; the next endpoint gets it.
 TEST(Gateway, ARefusedFilingGoesElsewhere) {
   FakePlainService first;
   FakePlainService second;
@@ -311,8 +312,8 @@
   LONGS_EQUAL(1, second.Petitions().size());
 }
 
-// No endpoint of the service can be reached. The member is told that nothing
-// was filed, and may press the button again: it must then be filed.
+// No endpoint of the service can be reached. The answer says that nothing was
+// filed, and the same filing sent again must be filed.
 TEST(Gateway, AFilingThatWasNotRunMayBeSentAgain) {
   SocketAddress nobody{"127.0.0.1", 1};
   FakePlainService service;
@@ -331,7 +332,7 @@
 }
 
 // The key-value service is down, so no claim can be made. The filing must not
-// run unclaimed; the member is told so, with a time to come back.
+// run unclaimed; the answer says so, with a retry time.
 TEST(Gateway, WithoutAClaimAFilingIsRefusedAsNotRun) {
   FakePlainService service;
   GatewayBed bed;
@@ -359,8 +360,8 @@
   LONGS_EQUAL(2, service.Petitions().size());
 }
 
-// A caller hangs up while its filing runs. Cutting the filing off would leave
-// open what became of it, so it runs to its end.
+// A caller disconnects while its filing runs. Cancelling would leave its
+// outcome unknown, so the filing runs to its end.
 TEST(Gateway, AFilingOutlivesItsCaller) {
   FakePlainService service({.delay = std::chrono::milliseconds(50)});
   GatewayBed bed;
@@ -389,7 +390,7 @@
   LONGS_EQUAL(kBytes, answer.body.size());
 }
 
-// A lookup fails at one endpoint; it is idempotent and is answered by another.
+// A lookup fails at one endpoint; it is idempotent, so another one answers it.
 TEST(Gateway, ALookupGoesElsewhere) {
   for (const PlainFault fault :
        {PlainFault::kCrashAfterRun, PlainFault::kHalfAnswer,
@@ -427,8 +428,8 @@
   LONGS_EQUAL(0, engine.Runs().size());
 }
 
-// Whoever reads an endpoint's log or memory must not find a caller's key, under
-// whatever header the caller sent it.
+// A caller's key must not reach an endpoint's log or memory, whichever header
+// the caller sent it in.
 TEST(Gateway, NoEndpointSeesTheKey) {
   FakeEngine engine;
   FakePlainService service;
@@ -462,8 +463,8 @@
                .status);
 }
 
-// A key is withdrawn while requests that came with it still wait. They must not
-// run; the requests of other accounts must.
+// A key is withdrawn while requests that use it are queued. They must not run;
+// the requests of other client accounts must.
 TEST(GatewayQueue, AKeyWithdrawnWhileQueuedRunsNothing) {
   FakeEngine engine;
   GatewayBed bed;
@@ -486,7 +487,8 @@
   LONGS_EQUAL(1, engine.Runs().size());
 }
 
-// The mutation of the above: without the second check it runs.
+// Counter-check of the test above: without the second key check the request
+// runs.
 TEST(GatewayQueue, WithoutTheSecondCheckAWithdrawnKeyRuns) {
   FakeEngine engine;
   GatewayOptions options;
@@ -501,7 +503,8 @@
   LONGS_EQUAL(200, withdrawn.get().status);
 }
 
-// An older configuration comes late, in which a withdrawn key is still good.
+// Guards against a delayed older configuration in which a withdrawn key is
+// still valid.
 TEST(Gateway, AnOlderConfigurationDoesNotRevive) {
   GatewayBed bed;
   const auto older = std::make_shared<Configuration>(bed.configuration);
@@ -514,9 +517,8 @@
 
 // -- Planned stops and hang-ups ----------------------------------------------
 
-// A host is replaced while a reader's stream runs. The stream must go on to its
-// end, new requests must be told that they did not run, and only then may the
-// host stop.
+// A host drains while a stream runs. The stream must finish, new requests must
+// be refused as not run, and only then may the host stop.
 TEST(Gateway, ADrainCutsNobodyOff) {
   FakeEngine engine({.step = std::chrono::milliseconds(5)});
   GatewayBed bed;
@@ -536,8 +538,8 @@
   CHECK(stream.done);
 }
 
-// Guards against a caller who sends its next request on a connection that the
-// process is about to close, and can't know whether it ran.
+// Guards against a caller that sends its next request on a connection that the
+// host is about to close, and cannot know whether the request ran.
 TEST(Gateway, AStoppingHostClosesEachConnectionWithItsAnswer) {
   FakeEngine engine;
   GatewayBed bed;
@@ -554,7 +556,7 @@
   }
 }
 
-// Guards against a process that ends while a slow caller still fetches.
+// Guards against a host that stops while a slow caller still reads its answer.
 TEST(Gateway, ADrainWaitsForACallerThatReadsSlowly) {
   constexpr size_t kBytes = 24'000'000;
   FakePlainService service;
@@ -579,7 +581,8 @@
   done.wait();
 }
 
-// Guards against a request that is cut off unanswered while its body arrives.
+// Guards against a request that gets no answer because the drain begins while
+// its body arrives.
 TEST(Gateway, ADrainAnswersARequestThatIsHalfRead) {
   FakeEngine engine;
   GatewayBed bed;
@@ -604,8 +607,8 @@
   LONGS_EQUAL(0, engine.Runs().size());
 }
 
-// Guards against callers who wait for the queue of a host that they can't use,
-// while others have room.
+// Guards against callers that wait in the queue of a draining host while other
+// hosts have free capacity.
 TEST(Gateway, ALeavingHostSendsCallersElsewhereWhateverItsQueue) {
   constexpr int kRequests = 60;
   FakeEngine engine(
@@ -619,7 +622,7 @@
   for (int i = 0; i < kRequests; ++i) {
     bed.caller.Start(batch);
   }
-  // The queue's pace is known a second after its first start.
+  // The queue's rate is known a second after its first start.
   g_usleep(2'500'000);
   const auto queued = bed.Ask<int64_t>([](Gateway& g) { return g.Queued(); });
   CHECK(queued > 0);
@@ -629,7 +632,7 @@
   STRCMP_EQUAL("1", refused.Header("Retry-After").c_str());
 }
 
-// Guards against an account that pays for more, or less, than it was given.
+// Guards against a client account billed for more, or less, than was delivered.
 TEST(Gateway, BillsWhatWasDeliveredBeforeRequestsEnd) {
   FakeEngine engine;
   GatewayBed bed;
@@ -652,7 +655,7 @@
   LONGS_EQUAL(3, usage[0].generated_tokens);
 }
 
-// Guards against a petition that never left being answered as unknown.
+// Guards against a petition that was never sent being answered as unknown.
 TEST(Gateway, AFilingThatStillConnectsIsEndedAsNotRun) {
   GatewayBed bed;
   const ObjectPtr<GSocketAddress> any(
@@ -667,7 +670,7 @@
       g_socket_get_local_address(full.get(), nullptr));
   const SocketAddress at{"127.0.0.1", g_inet_socket_address_get_port(
                                           G_INET_SOCKET_ADDRESS(taken.get()))};
-  const RawSocket first(at);  // further ones wait
+  const RawSocket first(at);  // later ones wait
   bed.AddPlain("p1", at);
   auto filing = bed.caller.Start(
       bed.Outgoing("POST", "/services/filing/petitions", "{}"));
@@ -679,7 +682,7 @@
   LONGS_EQUAL(0, bed.Ask<size_t>([&](Gateway&) { return bed.claims.size(); }));
 }
 
-// Readers hang up all the time. Their streams must not keep engines busy.
+// Guards against engines kept busy by streams whose callers disconnected.
 TEST(Gateway, AHangUpCancelsTheStream) {
   FakeEngine engine;
   GatewayBed bed;
@@ -693,7 +696,8 @@
   }));
 }
 
-// The same for one who hangs up in the queue, where nothing is written to it.
+// The same for a caller that disconnects while queued, when nothing is written
+// to its connection.
 TEST(GatewayQueue, AHangUpInTheQueueIsNoticed) {
   GatewayBed bed;
   bed.caller.Start(bed.Chat("waits", true));
@@ -708,8 +712,8 @@
 
 // -- Limits of accounts ------------------------------------------------------
 
-// An account sends more than its limit: no engine works for it, its callers
-// learn when to come back, and nobody else notices.
+// A client account exceeds its limit: no engine works for it, its callers
+// receive a retry time, and other accounts are not affected.
 TEST(GatewayLimits, AnAccountOverItsLimitIsRefusedAtOnce) {
   FakeEngine engine;
   GatewayBed bed;
@@ -779,7 +783,8 @@
   CHECK(priority_of("") < priority_of(R"("service_tier":"batch",)"));
 }
 
-// A crash of an endpoint isn't the account's: the repeat isn't counted again.
+// An endpoint's crash is not charged to the client account: the repeated
+// attempt is not counted again.
 TEST(GatewayLimits, CountsAResumedStreamOnce) {
   FakeEngine engine;
   GatewayBed bed;
@@ -802,7 +807,7 @@
   LONGS_EQUAL(0, bed.Charged());
 }
 
-// Part of an answer was generated before its caller hung up: that counts.
+// Tokens generated before the caller disconnected are charged.
 TEST(GatewayLimits, ChargesWhatRanUntilItsCallerHungUp) {
   FakeEngine engine;
   GatewayBed bed;
@@ -815,7 +820,8 @@
   CHECK(bed.Charged() > 25'000);
 }
 
-// Tokens that are granted after the caller went would be lost to the account.
+// Guards against tokens lost to the client account because they are granted
+// after its caller disconnected.
 TEST(GatewayLimits, GivesBackTokensThatComeTooLate) {
   FakeEngine engine;
   GatewayBed bed;
@@ -836,7 +842,8 @@
   LONGS_EQUAL(0, engine.Runs().size());
 }
 
-// A host that stops refuses what still waits for tokens, and charges nothing.
+// A stopping host refuses the requests that still wait for tokens, and charges
+// nothing.
 TEST(GatewayLimits, EndsWhatWaitsForTokens) {
   FakeEngine engine;
   GatewayBed bed;
@@ -907,8 +914,8 @@
   STRCMP_EQUAL("Request finished.", decisions[2].message.c_str());
 }
 
-// A stream breaks and is resumed: the account pays for the prompt once, and for
-// each token that reached its caller once.
+// A stream breaks and is resumed. The client account is billed once for the
+// prompt and once for each token delivered.
 TEST(Gateway, BillsWhatWasDelivered) {
   FakeEngine first;
   FakeEngine second;
@@ -929,8 +936,8 @@
 
 // -- Bad input ---------------------------------------------------------------
 
-// Bodies that no parser should be trusted with: each gets a clear refusal, none
-// reaches an engine, and the next good call is answered.
+// Each malformed body is refused with a clear error, none reaches an engine,
+// and the next valid call is answered.
 TEST(Gateway, RefusesBadBodies) {
   FakeEngine engine;
   GatewayBed bed;
@@ -945,7 +952,8 @@
       R"({"model":7,"messages":[{}]})",
       R"({"model":"m","messages":[]})",
       R"({"model":"m","messages":[{}],"stream":"yes"})",
-      // Was passed on, and its caller got no answer for ten seconds.
+      // Guards against a body that is forwarded and then gets no answer for ten
+      // seconds.
       R"({"model":"m","max_tokens":0,"messages":[{}]})",
       R"({"model":"m","max_completion_tokens":-4,"messages":[{}]})",
       head + "\"\xff\xfe\"}]}",
@@ -954,7 +962,8 @@
       head + R"("a"}],"seed":1e999})",
       head + R"("a"}],"seed":)" + std::string(500, '9') + "}",
       std::string(1'000'000, '['),
-      // The parser skips comments; a quote in one must not hide the depth.
+      // The parser skips comments; a quote in one must not hide the nesting
+      // depth.
       "/* \" */" + std::string(1'000'000, '['),
       "'\"'" + std::string(1'000'000, '['),
       "{\"model\":\"m\",\"x\":[" + std::string(500'000, ',') + "]}",
@@ -980,7 +989,7 @@
           .c_str());
 }
 
-// Damaged bodies under a fixed seed: read or refused, never a crash.
+// Bodies damaged under a fixed seed must be parsed or refused without a crash.
 TEST(Gateway, SurvivesDamagedBodies) {
   constexpr int kRounds = 30'000;
   const std::string whole =
--- a/tests/host_bed.h
+++ b/tests/host_bed.h
@@ -1,5 +1,11 @@
-// Whole entry hosts in one process, with stand-ins for everything around them,
-// on loopback sockets.
+// Test bed that runs whole hosts in one process on loopback sockets, with
+// stand-ins for the services around them.
+//
+//   HostBed    a data centre with hosts, an engine and a plain service
+//
+//   HostBed bed(2);
+//   CHECK(Eventually([&] { return bed.InForce(1); }));
+//   bed.caller.Send(bed.Chat(0, 8));
 
 #pragma once
 
@@ -15,14 +21,14 @@
 
 namespace hickorystand {
 
-// A data centre with an engine, a plain service and some entry hosts.
+// A data centre with an engine, a plain service and some hosts.
 class HostBed {
  public:
   static constexpr const char* kKey = "sk-host-test-0123456789";
   static constexpr const char* kToken = "operators-token-0123456789";
 
-  // Each host that drains serves on for `drain_notice`, and then waits for
-  // running requests for `drain_limit`.
+  // A draining host goes on accepting requests for `drain_notice`, and then
+  // waits up to `drain_limit` for the running ones.
   explicit HostBed(int hosts,
                    Duration drain_limit = std::chrono::seconds(30),
                    Duration drain_notice = {})
@@ -34,13 +40,13 @@
     }
   }
 
-  // Starts one more host. `before` is called when its tasks run already.
+  // Starts one more host. `before` is called once the host's tasks run.
   void StartHost(const std::string& id,
                  const std::function<void()>& before = {}) {
     this->StartHost(this->SettingsOf(HostId(id)), before);
   }
 
-  // Starts one more host, in another data centre, which can't reach the
+  // Starts one more host in another data centre, without access to the
   // key-value service.
   void StartCutOffHost() {
     HostSettings settings = this->SettingsOf(HostId("far"));
@@ -49,7 +55,7 @@
     this->StartHost(settings);
   }
 
-  // A call to a host's gateway.
+  // A request to a host's gateway.
   HttpClientRequest Call(int host,
                          const std::string& method,
                          const std::string& target,
@@ -63,8 +69,8 @@
             .once = true};
   }
 
-  // A chat answer of some tokens; `more` goes into the body, for example
-  // R"("stream":true,)".
+  // A chat request for this many tokens; `more` is added to the body, for
+  // example R"("stream":true,)".
   HttpClientRequest Chat(int host,
                          int tokens,
                          const std::string& more = "",
@@ -75,7 +81,7 @@
                           R"(,"messages":[{"role":"user","content":"hi"}]})");
   }
 
-  // A call to a host's page for operators.
+  // A request to a host's operators' page.
   HttpClientRequest Admin(int host,
                           const std::string& method,
                           const std::string& target,
@@ -87,7 +93,7 @@
             .once = true};
   }
 
-  // Sets the account's limit, in requests; answers the revision.
+  // Sets the client account's limit, in requests; returns the new revision.
   int64_t Limit(double rate, double burst) {
     const auto stored = ReadStoredConfiguration(
         this->store.Transact(ReadConfigurationTransaction()));
@@ -103,19 +109,19 @@
     return revision;
   }
 
-  // The share of limits that a host holds.
+  // The host's share of the limits.
   double LimitShare(int host) {
     return this->Status(host).At("limits").At("share").Number();
   }
 
-  // What a host says of the account: "used" or "left".
+  // A figure of the client account in the host's status: "used" or "left".
   int64_t LimitOf(int host, const std::string& what) {
     const auto accounts =
         this->Status(host).At("limits").At("accounts").Items();
     return accounts.empty() ? 0 : accounts.front().At(what).Integer();
   }
 
-  // The same of all hosts.
+  // The sum of LimitOf() over all hosts.
   int64_t LimitSum(const std::string& what) {
     int64_t sum = 0;
     for (size_t i = 0; i < this->hosts.size(); ++i) {
@@ -124,14 +130,13 @@
     return sum;
   }
 
-  // A host's status page.
   Json Status(int host) {
     const auto answer =
         this->caller.Send(this->Admin(host, "GET", "/admin/status"));
     return Json::Parse(answer.body).value_or(Json());
   }
 
-  // Whether all hosts serve at a revision.
+  // Whether all hosts serve with this revision of the configuration.
   bool InForce(int64_t revision) {
     for (size_t i = 0; i < this->hosts.size(); ++i) {
       const int host = static_cast<int>(i);
--- a/tests/http_test.cc
+++ b/tests/http_test.cc
@@ -12,7 +12,7 @@
 namespace hickorystand {
 namespace {
 
-// How one exchange ended, as a test looks at it.
+// The result of one exchange.
 struct Outcome {
   HttpEnd end = HttpEnd::kNotSent;
   int status = 0;
@@ -20,7 +20,7 @@
   std::string body;
 };
 
-// A server and a client, each on a task of its own.
+// A server and a client, each on its own task.
 struct Pair {
   explicit Pair(HttpServer::Handler handler, HttpServerOptions options = {}) {
     this->server_task.Call([&] {
@@ -134,13 +134,13 @@
   call->Answer(200, {}, std::to_string(call->Request().body.size()));
 }
 
-// What a server with small limits answers to raw bytes.
+// The answer of a server with small limits to raw bytes.
 std::string RawAnswer(const std::string& bytes) {
   Pair pair(&AnswerLength, SmallLimits());
   RawSocket socket(pair.address);
   socket.Write(bytes);
   const std::string answer = socket.ReadAll();
-  // Whoever misbehaved harms nobody else.
+  // A misbehaving client does not affect others.
   STRCMP_EQUAL("5",
                pair.Send({.method = "POST", .body = "hello"}).body.c_str());
   return answer;
@@ -154,8 +154,8 @@
 
 }  // namespace
 
-// Guards against a connection that stays open after a cancel with no read in
-// progress, for as long as the exchange object is kept alive.
+// Guards against a connection that stays open while the exchange object exists,
+// because the exchange is cancelled with no read in progress.
 TEST(Http, CancellingAPausedAnswerClosesItsConnection) {
   std::promise<void> gone;
   Pair pair([&gone](const HttpCallPtr& call) {
@@ -188,14 +188,15 @@
                "HTTP/1.1 413"));
 }
 
-// A chunked body has no length to check beforehand.
+// A chunked body has no length that could be checked in advance.
 TEST(Http, RefusesAChunkedBodyThatIsTooLong) {
   CHECK(Begins(RawAnswer(kPost + "Transfer-Encoding: chunked\r\n\r\n7d0\r\n" +
                          std::string(2000, 'x') + "\r\n0\r\n\r\n"),
                "HTTP/1.1 413"));
 }
 
-// A caller sends without end. It is cut off; nothing is kept of it.
+// Guards against memory that grows with a body that never ends: the connection
+// is closed and nothing of the body is kept.
 TEST(Http, CutsOffABodyWithoutEnd) {
   Pair pair(&AnswerLength, SmallLimits());
   RawSocket socket(pair.address);
@@ -218,22 +219,22 @@
   CHECK(Begins(
       RawAnswer(kPost + "X-Long: " + std::string(3000, 'y') + "\r\n\r\n"),
       "HTTP/1.1 413"));
-  // Heads without end.
+  // A header that never ends.
   const std::string endless =
       RawAnswer(kPost + "X-Long: " + std::string(1'000'000, 'y'));
   CHECK(!Begins(endless, "HTTP/1.1 200"));
 }
 
-// Callers that send their head or body a byte at a time and never finish would
-// hold all connections between them.
+// Guards against callers that hold all connections by sending a head or body a
+// byte at a time and never finishing it.
 TEST(Http, CutsOffSlowSenders) {
   CHECK(RawAnswer("POST / HT").empty());
   CHECK(!Begins(RawAnswer(kPost + "Content-Length: 100\r\n\r\nslow"),
                 "HTTP/1.1 200"));
 }
 
-// Many bodies at once, each of them within its limit, are more than the server
-// may hold together.
+// Guards against memory exhausted by many concurrent bodies, each of them
+// within its own limit.
 TEST(Http, RefusesMoreBodiesThanItMayHold) {
   std::promise<void> arrived;
   HttpCallPtr held;
@@ -264,8 +265,8 @@
       200, pair.Send({.method = "POST", .body = std::string(900, 'y')}).status);
 }
 
-// A caller opens a stream and reads nothing of it. Its buffer must not be held
-// for ever.
+// Guards against a buffer held without end for a caller that opens a stream and
+// never reads it.
 TEST(Http, CutsOffACallerThatDoesNotRead) {
   std::promise<void> gone;
   Pair pair(
--- a/tests/kernel_test.cc
+++ b/tests/kernel_test.cc
@@ -89,7 +89,7 @@
   CHECK(!ParseAddress("127.0.0.1:65536").has_value());
 }
 
-// A platform renders its figures with fractions: 38.5 s, 1200.25 ms.
+// The platform writes durations with fractions: 38.5 s, 1200.25 ms.
 TEST(Settings, TakesDurationsWithFractions) {
   CHECK(ParseDuration("38.5s").value() == std::chrono::milliseconds(38500));
   CHECK(ParseDuration("1200.25ms").value() ==
@@ -116,9 +116,9 @@
   LONGS_EQUAL(static_cast<size_t>(ErrorKind::kInternal) + 1, rows.size());
 }
 
-// A caller's library sends a filing again because the answer said "retry",
-// although an endpoint may have run it: the fees are paid twice. So no kind
-// that may have run is marked for a retry.
+// Guards against fees due twice because a client library retries a filing that
+// an endpoint may have run. No error kind that may have run is marked for a
+// retry.
 TEST(ErrorTable, NeverInvitesARetryOfWhatMayHaveRun) {
   CHECK(std::ranges::all_of(AllErrorAnswers(), [](const ErrorAnswer& answer) {
     return answer.not_run || !answer.retry;
@@ -189,8 +189,8 @@
 
 TEST_GROUP(DroppingBuffer){};
 
-// Nobody reads the log any more and its pipe is full. Writing goes on at once;
-// the lines that found no room are counted, and none is cut in two.
+// The reader of the log has stopped and the pipe is full. Writing must not
+// block; lines that do not fit are dropped and counted, and none is truncated.
 TEST(DroppingBuffer, DropsLinesRatherThanWait) {
   std::array<int, 2> ends{};
   LONGS_EQUAL(0, pipe(ends.data()));
@@ -210,7 +210,8 @@
 
 TEST_GROUP(StopSignal){};
 
-// Guards against a stop that counts its time from when a busy loop noticed it.
+// Guards against a stop whose time limit starts only when a busy event loop
+// handles the signal.
 TEST(StopSignal, TellsWhenTheFirstSignalArrived) {
   const BootClock clock;
   std::vector<Instant> arrivals;
--- a/tests/peer_group_test.cc
+++ b/tests/peer_group_test.cc
@@ -1,4 +1,4 @@
-// Tests of entry hosts in two data centres acting together, over loopback.
+// Tests of the peer groups of hosts in two data centres, over loopback.
 
 #include <CppUTest/TestHarness.h>
 
@@ -19,7 +19,7 @@
 
 constexpr Duration kGenerous = std::chrono::seconds(30);
 
-// One host, which sends its digest over and over.
+// One host, which sends its digest periodically.
 class GroupHost {
  public:
   GroupHost(const std::string& id, const std::string& data_centre)
@@ -59,12 +59,12 @@
     });
   }
 
-  // Does something on the host's task.
+  // Runs a function on the host's task.
   void Do(const std::function<void(PeerGroup&)>& work) {
     this->task.Call([&] { work(*this->group); });
   }
 
-  // Waits until something holds there.
+  // Waits until a condition on the host's task holds.
   bool WaitFor(const std::function<bool(PeerGroup&)>& holds) {
     const Instant end = this->clock.Now() + kGenerous;
     bool held = false;
@@ -77,8 +77,8 @@
 
   const std::string id;
   PeerHost peer;
-  Digest own;                      // what it says; change only by Do()
-  std::map<HostId, Digest> heard;  // look only by Do()
+  Digest own;                      // that it sends; change only in Do()
+  std::map<HostId, Digest> heard;  // read only in Do()
 
  private:
   PeerGroupHandlers Handlers() {
@@ -95,7 +95,7 @@
   std::unique_ptr<Timer> timer;
 };
 
-// Three hosts here, two there.
+// Three hosts in one data centre, two in another.
 struct Fleet {
   Fleet() {
     for (const std::string id : {"a1", "a2", "a3"}) {
@@ -118,7 +118,8 @@
   std::vector<ListedHost> list;
 };
 
-// What a host heard of all other data centres together, under whatever id.
+// The summary digest that a host has of all other data centres, under whichever
+// id; null if none.
 const Digest* Elsewhere(const GroupHost& host) {
   for (const auto& [id, digest] : host.heard) {
     if (id.Text().starts_with("elsewhere/")) {
@@ -153,9 +154,9 @@
   }
 }
 
-// An endpoint leaves, and only one host, which has no link to the other data
-// centre, has seen it. Hosts there that spill work over would send it requests
-// that it cuts off. The news reaches them through the representatives.
+// Guards against requests routed to an endpoint that is about to stop and would
+// cut them off. Only one host has seen that it leaves, and that host has no
+// link to the other data centre; the update passes through the representatives.
 TEST(PeerGroup, ALeavingEndpointIsOutInAllDataCentres) {
   Fleet fleet;
   for (const auto& [id, host] : fleet.hosts) {
@@ -171,9 +172,9 @@
   }
 }
 
-// The first representative of a data centre is lost. Its data centre must not
-// go deaf to the others: the next host takes its rank, and distant work is
-// counted once, not under two ids.
+// Guards against a data centre that receives no digests from the others because
+// its first representative is lost: the next host takes its rank, and distant
+// work is counted once, not under two ids.
 TEST(PeerGroup, AnotherHostTakesTheRankOfALostOne) {
   Fleet fleet;
   fleet["b1"].Do([&](PeerGroup&) {
--- a/tests/peers_test.cc
+++ b/tests/peers_test.cc
@@ -1,4 +1,4 @@
-// Tests of the links between entry hosts, over loopback.
+// Tests of the links between hosts, over loopback.
 
 #include <CppUTest/TestHarness.h>
 #include <gio/gio.h>
@@ -26,7 +26,7 @@
 constexpr Duration kGenerous = std::chrono::seconds(30);
 constexpr const char* kSecret = "secret";
 
-// One host with a task of its own, and what it was told.
+// One host with its own task, and a record of what it received.
 class TestHost {
  public:
   explicit TestHost(const std::string& id,
@@ -86,7 +86,7 @@
     return sent;
   }
 
-  // As Send(), from within `answer`.
+  // As Send(), called from within `answer`.
   void SendHere(const HostId& host, const PeerMessage& message) {
     this->links->Send(host, message);
   }
@@ -97,7 +97,7 @@
     return stats;
   }
 
-  // Waits until something holds of this host's counters.
+  // Waits until a condition on this host's counters holds.
   bool WaitForStats(const std::function<bool(const PeerStats&)>& holds) {
     BootClock boot;
     const Instant end = boot.Now() + kGenerous;
@@ -110,7 +110,7 @@
     return false;
   }
 
-  // Waits until sessions were closed for a reason.
+  // Waits until `count` sessions were closed for this reason.
   bool WaitForClosed(ErrorKind kind, uint64_t count = 1) {
     return this->WaitForStats([&](const PeerStats& stats) {
       const auto found = stats.closed.find(kind);
@@ -118,7 +118,7 @@
     });
   }
 
-  // Waits until something holds of what this host was told.
+  // Waits until a condition on what this host received holds.
   bool WaitFor(const std::function<bool()>& holds) {
     std::unique_lock lock(this->mutex);
     return this->changed.wait_for(lock, kGenerous, holds);
@@ -130,7 +130,7 @@
 
   const std::string id;
   const uint64_t incarnation;
-  std::mutex mutex;  // guards what follows
+  std::mutex mutex;  // guards the members below
   std::condition_variable changed;
   std::map<HostId, uint64_t> up;
   std::map<HostId, Digest> digests;
@@ -191,7 +191,7 @@
   return socket;
 }
 
-// A peer made by hand, which can say what no real host would.
+// A peer on a raw socket, which can send what no real host would.
 class RawPeer {
  public:
   explicit RawPeer(const TestHost& target)
@@ -205,7 +205,7 @@
   RawPeer(const RawPeer&) = delete;
   RawPeer& operator=(const RawPeer&) = delete;
 
-  // Writes bytes as they are; false once the other side has closed.
+  // Writes raw bytes; false once the other side has closed.
   bool Write(std::string_view bytes) {
     while (!bytes.empty()) {
       const gssize put = g_socket_send(this->socket, bytes.data(), bytes.size(),
@@ -218,7 +218,6 @@
     return true;
   }
 
-  // Waits until the other side closes.
   bool ReadToEnd() {
     std::array<char, 4096> chunk{};
     gssize got = 1;
@@ -229,7 +228,7 @@
     return true;
   }
 
-  // Opens a session as a host would. Answers what was written.
+  // Opens a session as a host would. Returns the bytes that were written.
   std::string Open(const std::string& id) {
     const std::string hello =
         EncodeHello({.host = HostId(id),
@@ -248,7 +247,7 @@
     return written;
   }
 
-  // The next frame of the session.
+  // Seals the next frame of the session.
   std::string Seal(const WireMessage& message) {
     return SealFrame(this->key, FrameContext(true, this->sequence++),
                      EncodeMessage(message));
@@ -276,8 +275,8 @@
   uint64_t sequence = 0;
 };
 
-// Passes connections on to a host, and can make those that are open go silent
-// for good, as when something on the way forgets them.
+// Forwards connections to a host, and can silently stop forwarding on the open
+// ones, as when a device on the path drops their state.
 class Relay {
  public:
   explicit Relay(const SocketAddress& target)
@@ -288,7 +287,7 @@
   }
   ~Relay() {
     g_cancellable_cancel(this->stop);
-    // The thread that accepts adds to the list until it has ended.
+    // The accepting thread adds to the list until it has ended.
     this->threads.front().join();
     for (size_t i = 1; i < this->threads.size(); ++i) {
       this->threads[i].join();
@@ -304,7 +303,7 @@
     return {.host = "127.0.0.1", .port = this->port};
   }
 
-  // From now on nothing passes on the connections that are open.
+  // Stops forwarding on the connections that are open now.
   void SilenceOpen() { this->silenced = this->accepted.load(); }
 
  private:
@@ -347,7 +346,7 @@
   std::vector<std::thread> threads;
 };
 
-// Shows that digests still pass from one host to the other.
+// Checks that digests still pass from one host to the other.
 bool DigestPasses(TestHost& from, TestHost& to, int64_t revision) {
   from.SendDigest(revision);
   return to.WaitFor([&] {
@@ -383,8 +382,8 @@
         .head_revision = above + 2,
         .buckets = {{.name = "00", .revision = above + 1, .value = value},
                     {.name = "01", .revision = above + 2, .value = value}}};
-    // On the task of b itself, so Send(), which waits for that task, would
-    // hang.
+    // Runs on b's own task, where Send(), which waits for that task, would
+    // deadlock.
     b.SendHere(from, reply);
   };
   Link(a, b);
@@ -395,10 +394,10 @@
   CHECK(value == last.buckets.front().value);
 }
 
-// A machine outside the fleet connects to the peers' port with a guessed
-// secret. Were it let in, it could tell hosts that endpoints are down, and
-// callers would see refusals. Its Hello is refused and counted, and the links
-// of others don't notice.
+// Guards against a process outside the fleet that connects to the peers' port
+// with a guessed secret: it could report endpoints as down, and callers would
+// be refused. Its Hello is refused and counted, and other links are not
+// affected.
 TEST(PeerLinks, RefusesAWrongSecret) {
   TestHost a("a");
   TestHost b("b");
@@ -410,10 +409,10 @@
   LONGS_EQUAL(1, b.Stats().sessions_established);
 }
 
-// Somebody on the network recorded a host's session, and plays it back later:
-// a withdrawn host seems to live, with digests of yesterday. The first frame
-// after the Hello is tagged for a session whose nonce is gone, so the replay
-// is closed before it counts, and the host's real session stays.
+// Guards against a replayed session, which would make a withdrawn host look
+// alive with outdated digests. The first frame after the Hello is tagged for a
+// session whose nonce is no longer valid, so the replay is closed before it has
+// an effect, and the host's real session stays open.
 TEST(PeerLinks, RefusesARecordedSession) {
   TestHost b("b");
   std::string recorded;
@@ -434,8 +433,8 @@
   CHECK(b.WaitForLink("a"));
 }
 
-// The same frame sent twice within one session, as a faulty or hostile hop
-// might: the second one is tagged for a number that has passed.
+// Guards against a frame repeated within one session by a faulty or hostile
+// hop: the second copy is tagged for a sequence number that has passed.
 TEST(PeerLinks, RefusesAFrameSentTwice) {
   TestHost b("b");
   RawPeer raw(b);
@@ -448,9 +447,9 @@
   LONGS_EQUAL(1, b.messages.size());
 }
 
-// A stranger claims that a frame of four gigabytes follows, another cuts its
-// Hello short, a third sends noise. Memory must not grow, and the link between
-// two hosts of the fleet goes on.
+// One client announces a frame of four gigabytes, another truncates its Hello,
+// a third sends random bytes. Memory must not grow, and the link between two
+// hosts of the fleet must stay up.
 TEST(PeerLinks, RefusesFramesThatAreTooLongCutShortOrNoise) {
   TestHost a("a");
   TestHost b("b");
@@ -470,10 +469,10 @@
   CHECK(DigestPasses(a, b, 5));
 }
 
-// A firewall between two hosts forgets their connection: no error ever comes,
-// but nothing passes, and new connections would work. Digests stop, and each
-// host routes as if the other sent nothing. Silence is noticed by the missing
-// heartbeats, and the connection is replaced.
+// A firewall between two hosts drops the state of their connection: there is no
+// error, nothing passes, and new connections would work. Missing heartbeats
+// must reveal this and the connection must be replaced; otherwise each host
+// routes as if the other sent no digests.
 TEST(PeerLinks, ReplacesAConnectionThatWentSilent) {
   TestHost a("a");
   TestHost b("b");
@@ -491,9 +490,9 @@
   CHECK(DigestPasses(b, a, 7));
 }
 
-// A host is replaced, and its successor gets the same address before the host
-// list says so. A host that still dials the old one must not take the new one
-// for it: usage copies and leases would be credited to the wrong host.
+// Guards against usage copies and leases credited to the wrong host: a
+// replacement gets the address of the host before it, and another host still
+// dials that address with the old host list.
 TEST(PeerLinks, DoesNotMistakeAReplacementForTheHostBefore) {
   TestHost a("a");
   auto b = std::make_unique<TestHost>("b");
@@ -508,8 +507,8 @@
   CHECK(a.WaitForLink("c"));
 }
 
-// A process that was paused for long wakes up under an id that a newer process
-// bears by now. Its digests would undo what the newer one says.
+// A process resumes after a long pause, under an id that a newer process has by
+// now. Its digests must not overwrite the newer ones.
 TEST(PeerLinks, RefusesAnEarlierIncarnation) {
   TestHost a("a");
   TestHost b("b", {kSecret}, 7);
@@ -523,8 +522,8 @@
   LONGS_EQUAL(1, a.Stats().sessions_established);
 }
 
-// The fleet secret is changed host by host. In the middle of it some hosts
-// know only the old one, some both: nobody may lose a link.
+// The fleet secret is rotated host by host. Meanwhile some hosts have only the
+// old one and some both; no link may be lost.
 TEST(PeerLinks, KeepsLinksWhileTheSecretIsRotated) {
   TestHost before("a", {"old"});
   TestHost middle("b", {"old", "new"});
@@ -535,12 +534,12 @@
   CHECK(DigestPasses(after, middle, 6));
 }
 
-// One host floods another with messages as fast as it can, and a third one
-// doesn't read what it is sent. The flooded host's other links must go on, and
-// what waits for the one that doesn't read must stay bounded.
+// One host floods another with messages, and a third does not read what it is
+// sent. The flooded host's other links must work, and the send queue for the
+// host that does not read must stay bounded.
 TEST(PeerLinks, OnePeerHarmsNoOther) {
   TestHost a("a");
-  // Keeps the link to the peer that doesn't read, which sends nothing either.
+  // Keeps the link to the peer that does not read, which sends nothing either.
   TestHost b("b", {kSecret}, 1, 0, false);
   Link(a, b);
   RawPeer flood(b);
@@ -573,8 +572,8 @@
 
 TEST_GROUP(PeerFrames){};
 
-// What strangers and faulty peers may send, as one fixed set of mutated
-// messages: each must be decoded or refused, without a crash and without more
+// A fixed set of mutated messages, as unknown clients and faulty peers may send
+// them: each must be decoded or refused, without a crash and without more
 // memory than the frame itself allows.
 TEST(PeerFrames, MutatedMessagesAreDecodedOrRefused) {
   DigestDelta delta;
--- a/tests/platform_test.cc
+++ b/tests/platform_test.cc
@@ -1,5 +1,6 @@
-// Tests of the platform's clients against stand-ins on real sockets. Every
-// expectation is waited for; nothing depends on how fast the machine is.
+// Tests of the platform's clients against stand-ins on real sockets. Each
+// expectation is polled with a long timeout, so the results do not depend on
+// the speed of the machine.
 
 #include <CppUTest/TestHarness.h>
 
@@ -32,7 +33,7 @@
 
 constexpr auto kPatience = std::chrono::seconds(30);
 
-// Waits until something holds; false after a generous time.
+// Polls until a condition holds; false after a long timeout.
 bool Eventually(const std::function<bool()>& holds) {
   const auto until = std::chrono::steady_clock::now() + kPatience;
   while (!holds()) {
@@ -63,7 +64,7 @@
           .otherwise = {{.kind = StoreOperation::Kind::kGet, .key = key}}};
 }
 
-// A service with a client that gives up soon.
+// A key-value service and a client with a short timeout.
 struct Fixture {
   FakeKeyValue service;
   Metrics metrics;
@@ -130,7 +131,7 @@
   SocketAddress address;
 };
 
-// A watch on the store's task, with what it saw.
+// A watch on the store's task, and a record of what it reported.
 class WatchLog {
  public:
   WatchLog(BlockingStore& store, const std::string& prefix, int64_t after)
@@ -171,7 +172,7 @@
   std::unique_ptr<StoreWatch> watch;
 };
 
-// An address of loopback where nobody listens.
+// A loopback address on which nothing listens.
 SocketAddress DeadAddress() {
   return {"127.0.0.1", 9};
 }
@@ -228,9 +229,9 @@
   CHECK(store->Transact(Put("/a", "x")).outcome == StoreOutcome::kNotApplied);
 }
 
-// A filing's claim is recorded, but the answer is lost on the way. A client
-// that reports "not recorded" would have the filing claimed again elsewhere and
-// run twice. The cause: the connection broke after the write took effect.
+// Guards against a filing that runs twice: the connection breaks after its
+// claim was written, and a client that reports "not recorded" would have it
+// claimed again elsewhere.
 TEST(EtcdStore, LostReplyIsUnknownAndWrittenOnce) {
   Fixture f;
   f.store->Transact(Put("/warm", "x"));  // a connection is kept open
@@ -244,16 +245,16 @@
   STRCMP_EQUAL("me", read.records.at(0).value.c_str());
 }
 
-// The service says 503 because its members lost each other while the write was
-// on its way. It may still take effect, so it must not be called refused.
+// The service answers 503 because its members lost each other during the write.
+// The write may still take effect, so it must not be reported as refused.
 TEST(EtcdStore, UnavailableIsUnknown) {
   Fixture f;
   f.service.SetFault(KeyValueFault::kUnavailable);
   CHECK(f.store->Transact(Put("/a", "x")).outcome == StoreOutcome::kUnknown);
 }
 
-// The service is so slow that no answer comes in time. A write may still take
-// effect afterwards, so it must not be called refused.
+// No answer arrives in time. The write may still take effect afterwards, so it
+// must not be reported as refused.
 TEST(EtcdStore, SlowAnswerIsUnknown) {
   Fixture f;
   f.service.SetFault(KeyValueFault::kSlow, std::chrono::seconds(2));
@@ -261,8 +262,8 @@
   STRCMP_EQUAL("x", f.service.Transact(Get("/a")).records.at(0).value.c_str());
 }
 
-// One of the service's members answers nothing. Reads must go on through the
-// other within the same call; a write must not be sent to both.
+// One of the service's members does not answer. Reads must go to the other
+// member within the same call; a write must not be sent to both.
 TEST(EtcdStore, ReadsPassOverAMemberThatIsSlow) {
   Fixture f;
   FakeKeyValue slow;
@@ -303,9 +304,9 @@
   CHECK(took < kPatience);
 }
 
-// In an outage every filing needs a claim that can't be had. Each would wait
-// for its whole time limit before it is refused; once the outage is known,
-// refusals come at once and the service isn't flooded when it comes back.
+// In an outage every filing needs a claim that cannot be made. Guards against
+// each one waiting for its whole time limit: once the outage is known, refusals
+// are immediate, and the service is not flooded when it recovers.
 TEST(EtcdStore, RefusesAtOnceInAKnownOutageAndRecovers) {
   Fixture f;
   f.service.SetFault(KeyValueFault::kDown);
@@ -353,8 +354,8 @@
   LONGS_EQUAL(0, log.Losses());
 }
 
-// The service goes down with the watch open: its end must be told, once, so
-// that whoever watches reads anew.
+// The service stops while the watch is open. The watch must report its end
+// exactly once, so that its owner reads the records again.
 TEST(EtcdWatch, TellsOnceThatItWasCut) {
   Fixture f;
   WatchLog log(*f.store, "/c/", 1);
@@ -364,9 +365,9 @@
   CHECK(Eventually([&] { return log.Losses() == 1; }));
 }
 
-// A key is withdrawn, but callers who hold it are still served minutes later.
-// Something between host and service lost track of the watch's connection: no
-// event arrives and no error either. The check of quiet watches must notice.
+// Guards against a withdrawn key that is served for minutes: a device between
+// host and service drops the state of the watch's connection, so neither an
+// event nor an error arrives. The check of idle watches must detect it.
 TEST(EtcdWatch, NoticesThatItHasGoneSilent) {
   Fixture f;
   f.service.SetFault(KeyValueFault::kSilentWatch);
@@ -376,8 +377,8 @@
   CHECK(log.Changes().empty());
 }
 
-// The service bills each waiting watch as a call. One that nobody holds any
-// more must not wait on, whether it was dropped or had gone silent.
+// The service bills each waiting watch as a call. A watch without an owner must
+// not stay open, whether it was dropped or had become silent.
 TEST(EtcdWatch, LeavesNothingWaitingWhenItEnds) {
   Fixture f;
   {
@@ -396,7 +397,7 @@
 
 namespace {
 
-// A platform with a client on a task of its own.
+// A platform and a client on its own task.
 struct PlatformBench {
   fakes::FakePlatform platform;
   Task task{"client"};
@@ -466,9 +467,9 @@
   LONGS_EQUAL(0, bench.platform.Offences().Sum());
 }
 
-// A coordinator was paused in the middle of sending and wakes without its
-// lease. The platform would take its order beside that of the successor; so the
-// lease is looked at in the very step that hands bytes to the socket.
+// Guards against two holders' orders side by side: a coordinator is paused
+// while it sends, and resumes after its lease expired. The lease is checked in
+// the step that writes bytes to the socket.
 TEST(PlatformClient, SendsNothingOnceTheLeaseIsGone) {
   PlatformBench bench;
   CHECK(bench.Order("o1", 2, 7, [] { return false; }) ==
--- a/tests/raw_socket.h
+++ b/tests/raw_socket.h
@@ -1,4 +1,12 @@
-// Plain TCP for tests that need to misbehave in ways no HTTP library would.
+// Plain TCP for tests that must misbehave in ways that no HTTP library
+// supports.
+//
+//   RawSocket    one end of a connection, with blocking calls
+//   RawServer    serves each accepted connection on its own thread
+//
+//   RawSocket socket(address);
+//   socket.Write("POST / HT");
+//   const std::string answer = socket.ReadAll();
 
 #pragma once
 
@@ -22,7 +30,6 @@
 // One end of a TCP connection, with blocking calls.
 class RawSocket {
  public:
-  // Connects.
   explicit RawSocket(const SocketAddress& to) {
     const ObjectPtr<GSocketClient> client(g_socket_client_new());
     this->connection.reset(g_socket_client_connect_to_host(
@@ -30,20 +37,20 @@
     this->SetTimeout();
   }
 
-  // Takes over one that was accepted.
+  // Takes ownership of an accepted connection.
   explicit RawSocket(GSocketConnection* accepted)
       : connection(ShareObject(accepted)) {
     this->SetTimeout();
   }
 
-  // False when the other end no longer takes it.
+  // Returns false once the other end no longer accepts data.
   bool Write(std::string_view bytes) {
     return g_output_stream_write_all(
                g_io_stream_get_output_stream(this->Stream()), bytes.data(),
                bytes.size(), nullptr, nullptr, nullptr) != FALSE;
   }
 
-  // What comes until `end` has come, or the other end closes.
+  // Returns the bytes received until `end` arrives or the other end closes.
   std::string ReadUntil(std::string_view end) {
     std::string text;
     size_t searched = 0;  // no `end` begins before it
@@ -61,7 +68,7 @@
     return text;
   }
 
-  // All that comes until the other end closes.
+  // Returns all bytes received until the other end closes.
   std::string ReadAll() { return this->ReadUntil("\x01never\x01"); }
 
   void Close() { g_io_stream_close(this->Stream(), nullptr, nullptr); }
@@ -78,7 +85,7 @@
   ObjectPtr<GSocketConnection> connection;
 };
 
-// Accepts connections and serves each on a thread of its own.
+// Accepts connections and serves each on its own thread.
 class RawServer {
  public:
   using Serve = std::function<void(RawSocket&, int connection)>;
--- a/tests/request_trace_test.cc
+++ b/tests/request_trace_test.cc
@@ -18,7 +18,7 @@
 namespace hickorystand {
 namespace {
 
-// A scheduler that ends while it has the request, at an ingress host that
+// A scheduler that stops while it has the request, at an ingress host that
 // stops too.
 constexpr const char* kIngressLog =
     R"({"time":"2026-12-03T16:16:48.588Z","level":"info",)"
@@ -74,7 +74,7 @@
     R"("pause_ms":"0","ms":"8739"})"
     "\n";
 
-// An ingress host that ends a stream when its stop is over.
+// An ingress host that ends a stream when its stop deadline passes.
 constexpr const char* kStoppingLog =
     R"({"time":"2026-12-03T16:16:57.308Z","level":"info",)"
     R"("part":"forward","message":"Forwarded.","request":"s3-131",)"
@@ -112,7 +112,7 @@
   return trace;
 }
 
-// Hosts of a trace in the order of its lines.
+// The hosts of a trace in the order of its lines.
 std::string HostsOf(const RequestTrace& trace) {
   std::string hosts;
   for (const LogEntry& entry : trace.Entries()) {
@@ -134,7 +134,7 @@
   return {.code = code, .out = out.str(), .error = error.str()};
 }
 
-// A log file that is gone with the test.
+// A log file, removed by the destructor.
 class LogFile {
  public:
   LogFile(std::string path, const std::string& text) : path(std::move(path)) {
@@ -179,7 +179,8 @@
   STRCMP_EQUAL("between host5 and scheduler host0", stays.at(3).first.c_str());
 }
 
-// Guards against "caller gone" as the outcome of what an ingress host ended.
+// Guards against "caller gone" reported as the outcome of a request that an
+// ingress host ended.
 TEST(RequestTrace, TellsWhatTheCallerGot) {
   const RequestTrace trace =
       TraceOf("s3-131", {{"host2", kCanceledLog}, {"host4", kStoppingLog}});
@@ -187,7 +188,7 @@
                trace.Outcome().c_str());
 }
 
-// Guards against a cause that is guessed where a host's log is missing.
+// Guards against a guessed cause where a host's log is missing.
 TEST(RequestTrace, NamesTheHostWhoseLinesAreMissing) {
   const RequestTrace trace =
       TraceOf("s3-25", {{"host1", kLostLog}, {"host5", kIngressLog}});
@@ -197,8 +198,8 @@
                   trace.Text().c_str());
 }
 
-// Guards against the answer of an earlier try as the outcome of a repeat, and
-// against a "not run" that hides what an earlier try sent.
+// Guards against the answer to an earlier attempt reported as the outcome of a
+// repeat, and against a "not run" that hides what an earlier attempt sent.
 TEST(RequestTrace, TellsTriesApart) {
   const auto direct = [](const std::string& time, const std::string& status) {
     std::string line = kSecondLog;
