--- a/tests/ctl_test.cc
+++ b/tests/ctl_test.cc
@@ -54,7 +54,7 @@
     return this->address.host + ":" + std::to_string(this->address.port);
   }
 
-  std::atomic<int64_t> stays_at = 0;  // 0: as stored
+  std::atomic<int64_t> stays_at = 0;  // 0: none fixed
   std::atomic<bool> drained = false;
   std::string limits = "{}";  // in the status; set before the first call
 
--- a/tests/gateway_bed.h
+++ b/tests/gateway_bed.h
@@ -4,8 +4,7 @@
 //   CallerAnswer    what a caller received
 //   Caller          an HTTP client with blocking calls
 //   Eventually()    polls a condition
-//   GatewayBed      one host's gateway with its configuration, claims and
-//   limits
+//   GatewayBed      one host's gateway with its configuration
 //
 //   FakeEngine engine;
 //   GatewayBed bed;
--- a/tests/peers_test.cc
+++ b/tests/peers_test.cc
@@ -218,6 +218,7 @@
     return true;
   }
 
+  // Reads until the other side closes.
   bool ReadToEnd() {
     std::array<char, 4096> chunk{};
     gssize got = 1;
