--- a/tests/daemon_test.cc
+++ b/tests/daemon_test.cc
@@ -257,15 +257,15 @@
   // Of 25 requests (250 ms of the rate) each host keeps a quarter and the home
   // host the rest. A single sample may show the same figures before that state
   // is stable.
-  constexpr int kLooks = 50;
-  int looks = 0;
+  constexpr int kSamples = 50;
+  int samples = 0;
   CHECK(Eventually([&] {
     const bool full =
         bed.LimitShare(0) == 0.5 && bed.LimitShare(1) == 0.5 &&
         std::minmax({bed.LimitOf(0, "left"), bed.LimitOf(1, "left")}) ==
             std::pair<int64_t, int64_t>(6, 18);
-    looks = full ? looks + 1 : 0;
-    return looks == kLooks;
+    samples = full ? samples + 1 : 0;
+    return samples == kSamples;
   }));
   const int64_t revision = bed.Limit(0.01, 20);
   CHECK(Eventually([&] { return bed.InForce(revision); }));
--- a/tests/gateway_test.cc
+++ b/tests/gateway_test.cc
@@ -315,10 +315,10 @@
 // No endpoint of the service can be reached. The answer says that nothing was
 // filed, and the same filing sent again must be filed.
 TEST(Gateway, AFilingThatWasNotRunMayBeSentAgain) {
-  SocketAddress nobody{"127.0.0.1", 1};
+  SocketAddress unreachable{"127.0.0.1", 1};
   FakePlainService service;
   GatewayBed bed;
-  bed.AddPlain("p1", nobody);
+  bed.AddPlain("p1", unreachable);
   const HttpClientRequest call =
       bed.Outgoing("POST", "/services/filing/petitions", "{\"p\":1}");
   const CallerAnswer answer = bed.caller.Send(call);
--- a/tests/peers_test.cc
+++ b/tests/peers_test.cc
@@ -545,8 +545,8 @@
   Link(a, b);
   RawPeer flood(b);
   flood.Open("f");
-  RawPeer deaf(b);
-  deaf.Open("d");
+  RawPeer non_reader(b);
+  non_reader.Open("d");
   CHECK(b.WaitForLink("f"));
   CHECK(b.WaitForLink("d"));
   const std::jthread flooding([&] {
