--- a/tests/ctl_test.cc
+++ b/tests/ctl_test.cc
@@ -30,7 +30,7 @@
 }
 
 // Administration interface of a host. It reports the stored configuration's
-// revision, unless `reported_revision` fixes another one.
+// revision, unless a test fixes another one.
 class FakeHost {
  public:
   FakeHost(FakeKeyValue& store, std::string name, std::string data_centre)
