--- a/tests/ctl_test.cc
+++ b/tests/ctl_test.cc
@@ -331,7 +331,7 @@
   const std::string key = made->At("key").Text();
   const std::string hash = made->At("hash").Text();
   CHECK(bench.InForce()->keys.contains(hash));
-  // The service stores only the hash, and the key under no name.
+  // Only the hash is stored; no record contains the key.
   for (const StoreRecord& record : bench.store.Backup().Read("/", true)) {
     CHECK(!Contains(record.value, key));
   }
--- a/tests/daemon_test.cc
+++ b/tests/daemon_test.cc
@@ -235,8 +235,9 @@
 }
 
 // A data centre loses its connection to the key-value service, but not to the
-// other data centres. Guards against a host that starts there without a
-// configuration, and against a withdrawn key that goes on working there.
+// other data centres. A host that starts there must get the configuration from
+// one of those. Guards against a host without a configuration, and against a
+// key withdrawn meanwhile that goes on working there.
 TEST(Host, GetsTheConfigurationFromAnotherDataCentre) {
   HostBed bed(1);
   CHECK(Eventually([&] { return bed.InForce(1); }));
--- a/tests/peers_test.cc
+++ b/tests/peers_test.cc
@@ -347,7 +347,7 @@
   std::vector<std::thread> threads;
 };
 
-// Checks that digests still pass from one host to the other.
+// Whether digests still pass from one host to the other.
 bool DigestPasses(TestHost& from, TestHost& to, int64_t revision) {
   from.SendDigest(revision);
   return to.WaitFor([&] {
