--- a/bench/capacity_bench.cc
+++ b/bench/capacity_bench.cc
@@ -1,12 +1,13 @@
-// What control work costs one entry host, measured with the real code, and
-// what follows for the size that the project has to carry.
+// Measures the control-plane cost of one host with the production code, and
+// extrapolates it to the target size of the fleet.
 //
 //   capacity_bench [--seconds 5] [--windows 4] [--out build/bench]
 //
-// Each line of the first table is one rig: a real host beside stand-ins on
-// loopback. Bytes are those in both directions, of TCP payload plus 104 for
-// each frame: headers of its packet and of its acknowledgement. CPU is that of
-// the host's control thread, so that of the stand-ins doesn't count.
+// Each row of the first table is one rig: one real host connected over loopback
+// to simulated peers (stand-ins). Wire bytes count both directions: the TCP
+// payload plus 104 bytes per frame for the headers of its packet and of the
+// acknowledgement. CPU time is that of the host's control thread only, which
+// excludes the stand-ins.
 
 #include <sys/resource.h>
 
@@ -27,7 +28,7 @@
 namespace hickorystand {
 namespace {
 
-// The size to be carried.
+// The target size of the fleet, and the resource budget of one host.
 constexpr int kTargetHosts = 330;
 constexpr int kTargetDataCentres = 19;
 constexpr int kTargetEndpoints = 1600;
@@ -43,12 +44,13 @@
 struct Scenario {
   std::string name;
   FleetShape shape;
-  double settle = 11;  // seconds before the first window
-  double stretch = 1;  // of the windows
+  double settle = 11;  // warm-up in seconds, not reported
+  double stretch = 1;  // factor on the window length
 };
 
-// A representative's sums start at zero and name each account once to each
-// receiver; and what it sends comes in bursts 10 s apart.
+// The summaries of a representative start at zero and list each account once to
+// each receiver, so warm-up takes longer. It sends in bursts 10 s apart, so its
+// windows are twice as long.
 constexpr double kSettleSums = 55;
 constexpr double kTwoPeriods = 2;
 
@@ -120,7 +122,7 @@
       std::printf("%-24s links didn't settle in 30 s\n", scenario.name.c_str());
       return false;
     }
-    rig.Measure(1, scenario.settle);  // whole states go first
+    rig.Measure(1, scenario.settle);  // skip the initial full-state transfer
     const Measured measured =
         Medians(rig.Measure(windows, seconds * scenario.stretch));
     PrintRow(scenario, measured);
@@ -134,7 +136,7 @@
   return true;
 }
 
-// What a change of configuration costs: one bucket to each host.
+// Cost of a configuration change, which sends one bucket to each host.
 void RunConfiguration() {
   const auto fleet =
       MakeFleet(kTargetEndpoints, kTargetAccounts, kTargetServices);
@@ -163,7 +165,8 @@
               kChangesPerDay, bucket * kChangesPerDay / kSecondsPerDay);
 }
 
-// Decisions and reports a second on one core, without links.
+// Measures dispatch decisions, load reports and cache events per second on one
+// core, without peer links.
 class DispatcherBench {
  public:
   explicit DispatcherBench(int endpoints) : endpoints(endpoints) {
@@ -175,7 +178,7 @@
     this->Loads();
   }
 
-  // CPU seconds of one load report.
+  // Returns the CPU seconds per load report.
   double Loads() {
     const double start = ThreadCpuSeconds();
     ++this->sequence;
@@ -191,7 +194,8 @@
     return (ThreadCpuSeconds() - start) / this->endpoints;
   }
 
-  // CPU seconds of one cached piece that comes and goes.
+  // Returns the CPU seconds per cache event, which adds one prefix piece and
+  // removes another.
   double Pieces(int count) {
     const double start = ThreadCpuSeconds();
     for (int i = 0; i < count; ++i) {
@@ -205,7 +209,8 @@
     return (ThreadCpuSeconds() - start) / count;
   }
 
-  // CPU seconds of one request from arrival to end, with its decision.
+  // Returns the CPU seconds per request, from arrival to completion, including
+  // the dispatch decision.
   double Requests(int count) {
     const double start = ThreadCpuSeconds();
     for (int i = 0; i < count; ++i) {
@@ -278,16 +283,16 @@
 
 int Run(int argc, char** argv) {
   cxxopts::Options options("capacity_bench",
-                           "Measures what control work costs one entry host.");
+                           "Measures the control-plane cost of one host.");
   options.add_options()("seconds", "length of one window",
                         cxxopts::value<double>()->default_value("5"))(
-      "windows", "windows measured for each line; the median counts",
+      "windows", "windows measured per row; the median is reported",
       cxxopts::value<int>()->default_value("4"))(
-      "only", "only the rigs whose name has this in it",
+      "only", "run only the rigs whose name contains this text",
       cxxopts::value<std::string>()->default_value(""))(
-      "out", "folder for capacity.csv",
+      "out", "output directory of capacity.csv",
       cxxopts::value<std::string>()->default_value("build/bench"))(
-      "help", "print this");
+      "help", "print this help");
   const auto parsed = options.parse(argc, argv);
   if (parsed.count("help") > 0) {
     std::cout << options.help();
--- a/bench/capacity_rig.cc
+++ b/bench/capacity_rig.cc
@@ -23,8 +23,8 @@
 
 }  // namespace
 
-// Counted allocation, so that one thread's memory can be told from that of its
-// neighbours in this process.
+// Allocation counted per thread, which separates the memory of the measured
+// host from that of the stand-ins in the same process.
 void* operator new(size_t size) {
   void* made = std::malloc(size);
   if (made == nullptr) {
@@ -53,7 +53,7 @@
 constexpr size_t kStandInsPerTask = 16;
 constexpr int kDataCentres = 19;
 constexpr int kHostsPerDataCentre = 17;
-// As PeerGroup does by itself.
+// Same period as in PeerGroup.
 constexpr Duration kSummaryPeriod = std::chrono::seconds(5);
 constexpr Duration kRelayPeriod = 2 * kSummaryPeriod;
 
@@ -63,13 +63,14 @@
          digits;
 }
 
-// Draws what a host has under way: Poisson-like arrivals, each with an
-// endpoint and an account, that end after a while.
+// Generates the in-flight requests of a host: Poisson arrivals, each with a
+// random endpoint and account, which complete in the next window.
 class Load {
  public:
   Load(const FleetShape& shape, uint64_t seed, double scale)
       : shape(shape), scale(scale), random(seed) {
-    // A host that has run for long has used every endpoint and account.
+    // Start in the steady state, in which the host has used every endpoint and
+    // account.
     for (int i = 0; i < shape.endpoints; ++i) {
       this->running[i] = this->last[i] = 1;
     }
@@ -78,7 +79,7 @@
     }
   }
 
-  // What the host says after `seconds` more.
+  // Advances by `seconds` and writes the resulting load to `digest`.
   void Advance(double seconds, Digest& digest) {
     std::poisson_distribution<int> arrivals(this->shape.requests * this->scale *
                                             seconds);
@@ -87,7 +88,7 @@
       this->Write(digest);
       return;
     }
-    // What arrived in the last window is what ends in this one.
+    // Requests that arrived in the previous window complete in this one.
     for (const auto& [endpoint, requests] : std::exchange(this->last, {})) {
       this->running[endpoint] -= requests;
     }
@@ -163,13 +164,14 @@
   return made;
 }
 
-// The measured host: its links, its membership and its dispatcher.
+// The measured host: peer links, group membership and dispatcher.
 struct Rig::Subject {
   explicit Subject(const FleetShape& shape)
       : task("subject"), load(shape, 1, 1) {
     PeerGroupOptions options;
     auto& session = options.links.session;
-    // Ranks follow ids, and the stand-ins' are h0001, h0002 and so on.
+    // Representatives are ranked by host id; the ids of the stand-ins are
+    // h0001, h0002 and so on.
     session.host = HostId(shape.first    ? "h0000"
                           : shape.second ? "h0001-second"
                                          : "z0000");
@@ -237,7 +239,7 @@
     });
   }
 
-  // Sends a digest and waits for the time of the next.
+  // Sends a digest and schedules the next one.
   void Beat(std::atomic<int64_t>& period_us) {
     const Duration delay = this->group->NextDigestDelay();
     this->period = ToSeconds(delay);
@@ -261,12 +263,13 @@
   double period = 0;
 };
 
-// A peer that has links and draws what it says. It is linked to the measured
-// host alone: the stand-ins' own mesh would take more of the machine than what
-// is measured.
+// A simulated peer: real links, generated digests. It is linked to the measured
+// host only, since a full mesh of stand-ins would use more CPU time than the
+// measured host.
 struct Rig::StandIn {
-  // `distant` speaks for another data centre. The first one near also passes
-  // on what all other data centres do, as a first representative would.
+  // `distant`: the representative of another data centre. The first local
+  // stand-in also relays the summaries of all other data centres, as a first
+  // representative does.
   StandIn(const FleetShape& shape, int number, bool distant, Task& task)
       : task(task),
         distant(distant),
@@ -306,7 +309,8 @@
   StandIn(const StandIn&) = delete;
   StandIn& operator=(const StandIn&) = delete;
 
-  // Sends digests as often as the measured host does, in step with its mesh.
+  // Sends digests with the period of the measured host, which depends on the
+  // size of its mesh.
   void Start(const PeerHost& subject, const std::atomic<int64_t>& period_us) {
     this->task.Call([&] {
       this->links->SetHosts({subject});
@@ -328,7 +332,8 @@
         Timer::After(period, [this, &period_us] { this->Beat(period_us); });
   }
 
-  // As DigestSummary makes it: coarse, and without work that stays at home.
+  // Same as in DigestSummary: costs are rounded down to kSummaryUnit, and
+  // outstanding work, which is local to a data centre, is left out.
   void Summarise() {
     Digest sum = this->digest;
     this->others.Advance(
--- a/bench/capacity_rig.h
+++ b/bench/capacity_rig.h
@@ -1,11 +1,18 @@
-// What the capacity bench measures: one real entry host's control work on a
-// thread of its own, beside small stand-ins for its peers on other threads.
+// Test rig of the capacity bench: the control plane of one real host on its own
+// thread, connected to simulated peers (stand-ins) on other threads.
+//
+//   Rig rig({.hosts = 33});
+//   if (rig.Settle()) {
+//     const Measured measured = Medians(rig.Measure(4, 5.0));
+//   }
 //
 // Index
-//   FleetShape       how large the fleet around the host is
-//   MakeFleet        a configuration of that shape
-//   Rig              the host, its stand-ins and the traffic between them
-//   Sample           what one window of time cost the host
+//   FleetShape       size of the fleet and request rate
+//   MakeFleet        builds a configuration of a given size
+//   Sample           resource use of the host in one measurement window
+//   Rig              the measured host, its stand-ins and their traffic
+//   Measured         medians over several windows
+//   ThreadCpuSeconds, ThreadHeapBytes   resource use of the calling thread
 
 #pragma once
 
@@ -21,41 +28,44 @@
 
 namespace hickorystand {
 
-// How large the fleet around the measured host is.
+// Size of the fleet around the measured host, and its request rate.
 struct FleetShape {
-  int hosts = 17;      // of its data centre, with itself
+  int hosts = 17;      // in its data centre, including itself
   int distant = 0;     // representatives of other data centres
-  int endpoints = 85;  // of its data centre
+  int endpoints = 85;  // in its data centre
   int accounts = 470;
   int services = 16;
-  double requests = 6;  // a second and host
+  double requests = 6;  // per second and host
   bool first = false;   // the host is the first representative
   bool second = false;  // the host is the second representative
 
   auto operator<=>(const FleetShape&) const = default;
 };
 
-// A configuration with this many records.
+// Builds a configuration with the given numbers of records, all in one data
+// centre.
 ConfigurationPtr MakeFleet(int endpoints, int accounts, int services);
 
-// What one window of time cost the measured host.
+// Resource use of the measured host in one measurement window.
 struct Sample {
   double seconds = 0;
-  double cpu = 0;   // share of one core, its control thread
-  double sent = 0;  // bytes a second, payload of TCP
+  double cpu = 0;   // fraction of one core, control thread only
+  double sent = 0;  // bytes per second of TCP payload
   double received = 0;
-  double frames_sent = 0;  // frames a second
+  double frames_sent = 0;  // frames per second
   double frames_received = 0;
-  double digests = 0;  // taken a second
+  double digests = 0;  // received per second
   double heap = 0;     // bytes allocated by its thread and not freed
-  double period = 0;   // seconds between its digests
+  double period = 0;   // seconds between the digests it sends
 
-  // Bytes a second in both directions with the packets: 52 for the headers of
-  // each frame's packet and 52 for the one that acknowledges it.
+  // Returns the bytes per second in both directions including packet headers:
+  // per frame 52 bytes for the headers of its packet and 52 for those of the
+  // acknowledgement.
   double Wire() const;
 };
 
-// The host with its stand-ins. Everything runs on loopback and ends with it.
+// Runs the measured host and its stand-ins on loopback. All threads and
+// connections are closed by the destructor.
 class Rig {
  public:
   explicit Rig(const FleetShape& shape);
@@ -63,14 +73,14 @@
   Rig(const Rig&) = delete;
   Rig& operator=(const Rig&) = delete;
 
-  // Waits until all links stand; false if they don't in 30 s.
+  // Waits until all links are established; returns false after 30 s.
   bool Settle();
 
-  // Measures windows of time, one after the other.
+  // Measures consecutive windows of `seconds` each.
   std::vector<Sample> Measure(int windows, double seconds);
 
-  // Sends buckets of this many bytes to every host of the data centre, as
-  // after a change of configuration.
+  // Broadcasts a configuration bucket of this many bytes to every host of the
+  // data centre, as after a configuration change.
   void ChangeConfiguration(size_t bytes);
 
  private:
@@ -78,14 +88,15 @@
   struct StandIn;
 
   FleetShape shape;
-  std::atomic<int64_t> period_us = 250'000;  // of digests, as the host chose
+  std::atomic<int64_t> period_us = 250'000;  // digest period of the host
   std::unique_ptr<Subject> subject;
-  std::vector<std::unique_ptr<Task>> tasks;  // of the stand-ins
+  std::vector<std::unique_ptr<Task>> tasks;  // threads of the stand-ins
   std::vector<std::unique_ptr<StandIn>> stand_ins;
 };
 
-// The window with the median of the wire bytes and of the CPU share, each by
-// itself; and the spread of the CPU share.
+// Median over several windows. Wire bytes and CPU share each take their own
+// median, possibly from different windows; `cpu_low` and `cpu_high` are the
+// lowest and the highest CPU share.
 struct Measured {
   Sample median;
   double cpu_low = 0;
@@ -93,10 +104,11 @@
 };
 Measured Medians(std::vector<Sample> samples);
 
-// CPU time of the calling thread, in seconds.
+// Returns the CPU time of the calling thread, in seconds.
 double ThreadCpuSeconds();
 
-// Bytes allocated by the calling thread with operator new and not freed by it.
+// Returns the bytes that the calling thread has allocated with operator new
+// minus those it has freed.
 int64_t ThreadHeapBytes();
 
 }  // namespace hickorystand
--- a/bench/gateway_bench.cc
+++ b/bench/gateway_bench.cc
@@ -1,10 +1,11 @@
-// What one entry host adds: latency against the stand-in called directly in the
-// same run, requests a second on one core, memory with many open streams.
+// Measures the overhead of one host: added latency (compared with direct calls
+// to the fake engine or service in the same run), requests per second on one
+// core, and memory use with many open streams.
 //
 //   gateway_bench [requests] [streams]
 //
-// All runs over loopback, bounded in count. The gateway is one task, so one
-// thread: its share of a core is its thread's own processor time.
+// Everything runs over loopback with a bounded number of requests. The gateway
+// is one task and so one thread; its CPU use is the CPU time of that thread.
 
 #include <sys/resource.h>
 
@@ -25,7 +26,7 @@
 using fakes::FakePlainService;
 
 constexpr int kDefaultRequests = 2000;
-constexpr int kEngines = 20;  // for the measurement of memory
+constexpr int kEngines = 20;  // in the memory measurement
 constexpr int kDefaultStreams = 1000;
 constexpr int kMaxCount = 100'000;
 constexpr int kParallel = 64;
@@ -40,7 +41,8 @@
   return static_cast<double>(g_get_monotonic_time()) / 1e6;
 }
 
-// Milliseconds from sending a call to the end of its answer, one at a time.
+// Sends `count` calls sequentially and returns the milliseconds from sending
+// each call to the end of its response. Exits on any status other than 200.
 std::vector<double> Latencies(Caller& caller,
                               const HttpClientRequest& call,
                               int count) {
@@ -63,7 +65,7 @@
               Quantile(samples, 0.5), Quantile(samples, 0.99));
 }
 
-// Processor seconds of the task's own thread so far.
+// Returns the CPU seconds used so far by the task's thread.
 double ThreadSeconds(Task& task) {
   double seconds = 0;
   task.Call([&] {
@@ -84,7 +86,8 @@
   return static_cast<double>(resident) * kPageMegabytes;
 }
 
-// Sends calls, many at a time, and counts those answered.
+// Result of a load run: calls answered with status 200, and the elapsed
+// seconds.
 struct Load {
   int answered = 0;
   double seconds = 0;
@@ -114,7 +117,7 @@
                     int requests) {
   HttpClientRequest chat = bed.Chat("bench", true, 1);
   HttpClientRequest lookup = bed.Outgoing("GET", "/services/filing/petitions");
-  chat.once = lookup.once = false;  // kept connections, as clients have
+  chat.once = lookup.once = false;  // keep-alive connections, as clients use
   HttpClientRequest chat_direct = chat;
   chat_direct.address = engine.Address();
   HttpClientRequest lookup_direct = lookup;
@@ -127,9 +130,9 @@
   const auto lookup_samples = Latencies(bed.caller, lookup, requests);
   const auto lookup_base = Latencies(bed.caller, lookup_direct, requests);
   PrintLatency("lookup, stand-in called directly", lookup_base);
-  PrintLatency("lookup, through the entry host", lookup_samples);
+  PrintLatency("lookup, through the host", lookup_samples);
   PrintLatency("one-token stream, called directly", chat_base);
-  PrintLatency("one-token stream, through the entry host", chat_samples);
+  PrintLatency("one-token stream, through the host", chat_samples);
   std::printf("%-44s median %7.3f ms   p99 %7.3f ms\n", "added to a lookup",
               Quantile(lookup_samples, 0.5) - Quantile(lookup_base, 0.5),
               Quantile(lookup_samples, 0.99) - Quantile(lookup_base, 0.99));
@@ -163,11 +166,11 @@
   }
 }
 
-// Opens streams that stay open, and reads the whole process's memory, in which
-// the stand-in and the callers hold their ends of them too.
-// The streams are spread over as many engines and callers as a host sees. A
-// session of libsoup walks its whole queue at every event, so that a thousand
-// streams through one session take a minute to open.
+// Opens long-lived streams and reads the resident memory of the process, which
+// includes the fake engines' and the callers' ends of the streams.
+// The streams are spread over as many engines and callers as a host has. A
+// libsoup session walks its whole queue at every event, so a thousand streams
+// through one session would take a minute to open.
 void MeasureMemory(int streams) {
   std::vector<std::unique_ptr<FakeEngine>> engines;
   std::vector<std::unique_ptr<Caller>> callers;
@@ -194,10 +197,11 @@
       "%.1f kB a stream with all three ends\n",
       streams, all ? "" : " (not all opened)", after, before,
       (after - before) * 1024 / streams);
-  std::_Exit(all ? 0 : 1);  // the open streams are not waited for
+  std::_Exit(all ? 0 : 1);  // exit without waiting for the open streams
 }
 
-// Each open stream takes four descriptors here, as all ends are in one process.
+// Each open stream takes four file descriptors, since all its ends are in this
+// process.
 void RaiseDescriptorLimit() {
   rlimit limit{};
   getrlimit(RLIMIT_NOFILE, &limit);
--- a/bench/limit_world.cc
+++ b/bench/limit_world.cc
@@ -82,7 +82,8 @@
   this->events.emplace(this->now + delay, std::move(happen));
 }
 
-// Does something in a host's process, once it runs, unless it has ended.
+// Runs `happen` in the given process of a host: deferred while the host is
+// frozen, dropped if that process has ended.
 void LimitWorld::OnHost(int number,
                         int64_t process,
                         std::function<void()> happen) {
@@ -117,7 +118,8 @@
   return !this->cuts.contains(std::minmax(one, other));
 }
 
-// The other schedulers, as far as this host has heard of them lately.
+// Returns the other schedulers that are reachable from this host, or were so
+// within the link timeout.
 std::vector<HostId> LimitWorld::Linked(int number) {
   Host& host = this->At(number);
   std::vector<HostId> linked;
@@ -141,7 +143,7 @@
   return linked;
 }
 
-// The schedulers that are listed or linked.
+// Returns the schedulers that are in the membership list or linked.
 std::set<HostId> LimitWorld::Present(int number) {
   const std::vector<HostId> linked = this->Linked(number);
   std::set<HostId> present(linked.begin(), linked.end());
--- a/bench/limit_world.h
+++ b/bench/limit_world.h
@@ -1,6 +1,7 @@
-// A fleet of hosts in virtual time that hold client accounts to their limits:
-// the decision classes of the daemon, messages that are late, lost or repeated,
-// partitions, and a key-value service whose answers may be lost.
+// Simulates in virtual time a fleet of hosts that enforce the rate limits of
+// client accounts. It runs the daemon's decision classes over a network that
+// delays, loses and duplicates messages, with partitions and a key-value store
+// whose answers may be lost.
 //
 //   LimitWorld world({.hosts = 6, .limits = {{AccountId("a"), limit}}});
 //   world.Start();
@@ -9,10 +10,10 @@
 //   world.MostIn(account, window);
 //
 // Index
-//   LimitWorldOptions   the fleet
-//   LimitTally          what became of an account's requests
-//   CountingLimiter     a baseline: counts are exchanged, tokens aren't moved
-//   LimitWorld          the fleet in virtual time
+//   LimitWorldOptions   fleet, network and store settings
+//   LimitTally          request counts of one account
+//   CountingLimiter     baseline: hosts exchange counts instead of tokens
+//   LimitWorld          the simulated fleet
 
 #pragma once
 
@@ -35,20 +36,20 @@
   int hosts = 6;
   AccountLimits limits;
   LimitOptions how;
-  bool counting = false;  // CountingLimiter decides instead
+  bool counting = false;  // use CountingLimiter for admission
   LimitSharesOptions shares;
   Duration delay = std::chrono::milliseconds(2);        // of a message
-  Duration store_delay = std::chrono::milliseconds(8);  // of a call
-  Duration silence = std::chrono::milliseconds(2600);   // until a link ends
-  Duration lease = std::chrono::seconds(10);  // of a host's record in the list
+  Duration store_delay = std::chrono::milliseconds(8);  // of a store call
+  Duration silence = std::chrono::milliseconds(2600);   // link timeout
+  Duration lease = std::chrono::seconds(10);  // of a host's membership record
   Duration tick = std::chrono::milliseconds(20);
-  double lost = 0;      // part of messages
-  double repeated = 0;  // part of messages
-  double late = 0;      // part of messages, by up to a second
+  double lost = 0;      // fraction of messages
+  double repeated = 0;  // fraction of messages
+  double late = 0;      // fraction of messages, delayed by up to 1 s
   uint32_t seed = 1;
 };
 
-// Requests of one account, and their cost.
+// Request counts of one account, and the total cost of the admitted requests.
 struct LimitTally {
   int64_t offered = 0;
   int64_t admitted = 0;
@@ -58,9 +59,9 @@
   auto operator<=>(const LimitTally&) const = default;
 };
 
-// Every host counts against the whole limit what it admits and what others say
-// that they admitted. While others are silent it keeps to the parts of those
-// that it hears.
+// Baseline limiter. Every host counts the cost that it admits, and the cost
+// that other hosts report as admitted, against the full limit. While some hosts
+// are unreachable it uses only the share of the limit of the reachable ones.
 class CountingLimiter {
  public:
   explicit CountingLimiter(const AccountLimits& limits) : limits(limits) {}
@@ -85,18 +86,18 @@
  public:
   explicit LimitWorld(LimitWorldOptions options);
 
-  // All hosts start as schedulers, and the world runs until each has a share.
+  // Starts all hosts as schedulers and runs until each of them has a share.
   void Start();
 
   void Run(double seconds);
 
-  // A request comes to a host now.
+  // Submits a request to a host at the current time.
   void Offer(int host,
              const AccountId& account,
              int64_t cost,
              int64_t priority = 0);
 
-  // No messages between two hosts, or between a host and the service.
+  // Partitions two hosts from each other, or a host from the store.
   void Cut(int one, int other);
   void CutStore(int host);
   void HealAll();
@@ -109,19 +110,19 @@
   void SetLimits(int host, const AccountLimits& limits);
   void GiveBack(int host, const AccountId& account, int64_t cost);
 
-  // The service doesn't answer, or carries writes out but loses the answers.
+  // The store doesn't answer, or applies writes but loses the answers.
   void SetStoreDown(bool down) { this->store_down = down; }
   void SetAnswersLost(bool lost) { this->answers_lost = lost; }
-  // Writes take effect this much later than they were sent.
+  // Delays the effect of writes by this much after they are sent.
   void SetWritesLate(Duration late) { this->writes_late = late; }
 
   bool IsUp(int host) const { return this->At(host).up; }
   double Own(int host) const;
 
-  // The sum of all hosts' parts of the limits.
+  // Sum of the shares of the limits over all hosts.
   double OwnSum() const;
 
-  // The highest cost admitted in any window of so many seconds.
+  // Highest cost admitted in any window of `window` seconds.
   double MostIn(const AccountId& account, double window) const;
 
   const LimitTally& Tally(const AccountId& account) {
@@ -133,8 +134,8 @@
   int64_t Entries() const { return this->entries; }
   Instant Now() const { return this->now; }
 
-  // Takes each of the events that are due in this order from now on; 0: the
-  // first, as usual. For searches through all orders.
+  // From now on `pick` selects which of the `due` events runs next; 0 is the
+  // first, as by default. Used to search through all event orders.
   void SetOrder(std::function<size_t(size_t due)> pick) {
     this->pick = std::move(pick);
   }
@@ -145,7 +146,7 @@
     bool up = false;
     bool frozen = false;
     bool scheduler = false;
-    std::optional<Instant> store_cut;  // since
+    std::optional<Instant> store_cut;  // start of the partition from the store
     int64_t process = 0;
     AccountLimits limits;
     std::unique_ptr<LimitShares> shares;
@@ -154,7 +155,7 @@
     std::map<int, Instant> unheard_since;
     std::map<int64_t, LimitRequest> waiting;
     std::map<int, int64_t> told;
-    std::vector<std::function<void()>> held_up;  // while frozen
+    std::vector<std::function<void()>> held_up;  // events deferred while frozen
   };
 
   Host& At(int host) { return this->hosts[static_cast<size_t>(host)]; }
--- a/bench/limits_bench.cc
+++ b/bench/limits_bench.cc
@@ -1,6 +1,7 @@
-// Compares ways to hold the limits of client accounts across hosts, in virtual
-// time: equal parts, parts moved between all hosts, parts pooled at a home, and
-// counts that hosts exchange. Writes a table to standard output.
+// Compares methods of enforcing the rate limits of client accounts across
+// hosts, in virtual time: equal shares, shares moved between all hosts, shares
+// pooled at a home host, and counts exchanged between hosts. Prints a table to
+// standard output.
 //
 //   limits_bench [--seeds N]
 
@@ -23,7 +24,8 @@
 constexpr int64_t kCost = 9200;
 constexpr int64_t kLargeCost = 17000;
 constexpr double kPercent = 100;
-// A want or grant on the wire, with its part of the message around it.
+// Wire size of a request for tokens or a grant, including its part of the
+// enclosing message.
 constexpr double kEntryBytes = 24;
 constexpr double kMessageBytes = 60;
 
@@ -89,7 +91,8 @@
   return RefusedPercent(world, kSmall);
 }
 
-// Seconds from a move of all demand to another host to the last refusal.
+// Returns the seconds from the moment when all demand moves to another host
+// until the last refusal.
 double TimeToFollow(const Way& way) {
   LimitWorld world(Options(way, 6));
   world.Start();
@@ -105,8 +108,9 @@
   return last;
 }
 
-// The most in a window, of what the limit allows, over cuts into two or three
-// parts at any time of a day on which the account sends all over.
+// Returns the highest cost admitted in any window, as a fraction of the allowed
+// cost, over partitions into two or three groups that start at various points
+// while the account sends through all hosts.
 double MostUnderCuts(const Way& way, uint32_t seeds) {
   double most = 0;
   for (uint32_t seed = 0; seed < seeds; ++seed) {
@@ -133,11 +137,12 @@
 }
 
 struct Traffic {
-  double messages = 0;  // sent by a host and second
+  double messages = 0;  // sent per host and second
   double bytes = 0;
 };
 
-// Accounts at half of their limits, each through all hosts.
+// Measures the traffic with accounts at half of their limits, each sending
+// through all hosts.
 Traffic TrafficOf(const Way& way, int hosts, int accounts, double requests) {
   LimitWorldOptions options = Options(way, hosts);
   options.limits.clear();
@@ -168,7 +173,7 @@
   std::printf("%-18s %8.2f %9.1f %9.1f %8.1f", way.name,
               MostUnderCuts(way, seeds), RefusedAtOneHost(way),
               RefusedOfASmallAccount(way), TimeToFollow(way));
-  // Schedulers of 8, 60 and 330 hosts.
+  // The numbers of schedulers in fleets of 8, 60 and 330 hosts.
   for (const auto& [hosts, accounts, requests] :
        {std::tuple(8, 8, 90.0), std::tuple(6, 16, 206.0),
         std::tuple(57, 470, 2000.0)}) {
@@ -180,8 +185,9 @@
 }
 
 int Main(int argc, char** argv) {
-  cxxopts::Options options("limits_bench", "compares ways to hold limits");
-  options.add_options()("seeds", "days with cuts",
+  cxxopts::Options options("limits_bench",
+                           "compares methods of enforcing limits");
+  options.add_options()("seeds", "number of simulated runs with partitions",
                         cxxopts::value<uint32_t>()->default_value("40"));
   const auto given = options.parse(argc, argv);
   std::printf(
--- a/bench/policy_baselines.cc
+++ b/bench/policy_baselines.cc
@@ -17,10 +17,10 @@
 constexpr int64_t kMaxTries = 3;
 constexpr Duration kAvoidFailed = std::chrono::seconds(5);
 
-// Sends each request at once to an endpoint that a rule picks, and on failure
-// to another one: no queue, no shares, no deadlines. It keeps what every
-// caller is promised: a filing goes out once, and a leaving endpoint gets
-// nothing new.
+// Base of the simple dispatchers: sends each request immediately to an endpoint
+// chosen by Pick(), and on failure to another one, without queue, fair shares
+// or deadlines. It keeps the guarantees given to callers: a filing is sent at
+// most once, and a draining endpoint receives no new requests.
 class PlainDispatcher : public Dispatcher {
  public:
   void OnConfiguration(Instant, ConfigurationPtr next) override {
@@ -113,7 +113,7 @@
   }
 
  protected:
-  // One of `ids`, which isn't empty.
+  // Returns one of `ids`, which isn't empty.
   virtual EndpointId Pick(const Request& request,
                           const std::vector<EndpointId>& ids) = 0;
 
@@ -207,7 +207,8 @@
   }
 };
 
-// Prompt-leaning requests to one half, the others to the other.
+// Sends prompt-heavy requests to one half of the endpoints, the others to the
+// other half.
 class ByRole final : public PlainDispatcher {
  protected:
   EndpointId Pick(const Request& request,
@@ -239,7 +240,7 @@
   return std::make_unique<HickorystandDispatcher>(options);
 }
 
-// The product's router behind a first-come-first-served queue.
+// The product's router behind a first-come, first-served queue.
 std::unique_ptr<Dispatcher> MakeFifo(const DispatcherOptions& options) {
   PolicyOptions policy;
   policy.admission.fair = false;
@@ -303,7 +304,7 @@
              }>},
 };
 
-// How full the endpoints of a role are, and the emptiest of them.
+// Utilisation of the endpoints of one role, and the least loaded of them.
 struct Half {
   double running = 0;
   double capacity = 0;
@@ -333,7 +334,7 @@
   std::map<EndpointRole, Half> halves;
   for (const EndpointState& state : endpoints) {
     if (state.changing) {
-      return {};  // one at a time
+      return {};  // one role change at a time
     }
     if (!state.up) {
       continue;
--- a/bench/policy_baselines.h
+++ b/bench/policy_baselines.h
@@ -1,4 +1,12 @@
-// The dispatchers and role planners that the policy is measured against.
+// Baseline dispatchers and role planners for comparison with the product's
+// policy.
+//
+// Index
+//   RolePolicy           how the roles of endpoints are set
+//   Strategy             one row of the table
+//   AllStrategies        the product and its baselines
+//   AllAblations         the product with one rule switched off in each row
+//   ThresholdWishes      role changes by a utilisation threshold
 
 #pragma once
 
@@ -13,28 +21,29 @@
 
 namespace hickorystand {
 
-// How roles are set.
+// How the roles of endpoints are set.
 enum class RolePolicy {
-  kMixed,      // all endpoints do both kinds of work, for ever
-  kSplit,      // half of them lean to prompts, half to answers, for ever
-  kThreshold,  // starts split; moves one when one half is busy, one idle
+  kMixed,      // all endpoints do both kinds of work; static
+  kSplit,      // half prefill-leaning, half decode-leaning; static
+  kThreshold,  // starts split; moves one if one half is busy, one idle
   kPlanner,    // the product's planner
 };
 
-// One row of the table: how requests are dispatched and roles are set.
+// One row of the table: a dispatcher and a role policy.
 struct Strategy {
   std::string_view name;
   RolePolicy roles = RolePolicy::kMixed;
-  bool scales = false;  // gives endpoints back and asks for more
+  bool scales = false;  // releases and orders endpoints
   std::unique_ptr<Dispatcher> (*make)(const DispatcherOptions&) = nullptr;
 };
 
 std::span<const Strategy> AllStrategies();
 
-// The product with one rule switched off in each row, to see what it earns.
+// The product with one rule switched off in each row, which shows the benefit
+// of that rule.
 std::span<const Strategy> AllAblations();
 
-// Role changes by a plain threshold on how full the two halves are.
+// Proposes role changes by a threshold on the utilisation of the two halves.
 std::vector<PlacementProposal> ThresholdWishes(
     const std::vector<EndpointState>& endpoints);
 
--- a/bench/policy_bench.cc
+++ b/bench/policy_bench.cc
@@ -1,9 +1,9 @@
-// Measures the policy against baselines in virtual time.
+// Compares the product's policy with baselines in virtual time.
 //
 //   policy_bench --out DIR             all scenarios, strategies and seeds
-//   policy_bench --trace FILE          a recorded list of requests instead
+//   policy_bench --trace FILE          a recorded trace of requests instead
 //
-// Prints a table of medians and spread, and writes DIR/policy.csv.
+// Prints a table of medians and ranges, and writes DIR/policy.csv.
 
 #include <algorithm>
 #include <array>
@@ -23,7 +23,7 @@
 namespace hickorystand {
 namespace {
 
-// One run of the matrix, and what came out.
+// One run of the matrix and its results.
 struct Run {
   const Scenario* scenario = nullptr;
   const Strategy* strategy = nullptr;
@@ -31,7 +31,7 @@
   RunFigures figures;
 };
 
-// What the command line asks for.
+// Command-line options.
 struct BenchOptions {
   std::string out;
   std::string trace;
@@ -141,7 +141,7 @@
   }
 }
 
-// Median and, behind it, least and most over the seeds.
+// Formats the median, followed by the minimum and maximum over the seeds.
 std::string Spread(std::vector<double> values) {
   std::ranges::sort(values);
   return Format("%8.3f", values[values.size() / 2]) + " (" +
--- a/bench/policy_engine.cc
+++ b/bench/policy_engine.cc
@@ -9,9 +9,10 @@
 namespace {
 
 constexpr size_t kCachePieces = 4000;
-constexpr int64_t kProgressEvery = 16;  // tokens between two reports
+constexpr int64_t kProgressEvery = 16;  // tokens between two progress events
 
-// Chosen once, before any policy was measured, and not tuned since.
+// Fixed independently of the policies under test, so that no policy is
+// favoured.
 const std::map<EndpointRole, EngineProfile> kProfiles = {
     {EndpointRole::kMixed, {6000, 0.03, 16, 0.5}},
     {EndpointRole::kPrefill, {10000, 0.03, 12, 0.7}},
@@ -86,7 +87,8 @@
   return events;
 }
 
-// The one begun, else the oldest that a person waits for, else the oldest.
+// Returns the prompt already being prefilled, else the oldest interactive one,
+// else the oldest.
 std::list<EngineJob>::iterator BenchEngine::NextPrompt() {
   const auto begun =
       std::ranges::find(this->waiting, true, &EngineJob::prefilling);
--- a/bench/policy_engine.h
+++ b/bench/policy_engine.h
@@ -1,10 +1,18 @@
-// A fake engine in virtual time: continuous batching, a prefix cache, roles,
-// drains and crashes, in as few lines as show what the policies must handle.
+// Minimal model of an engine in virtual time, with the features that the
+// policies must handle: continuous batching, a prefix cache, roles, drains and
+// crashes.
 //
-// Prompts are computed one at a time and share the engine's time with decoding;
-// the role sets how time and memory are divided. A prompt-leaning engine
-// computes prompts faster and holds fewer answers; an answer-leaning one the
-// other way round.
+// Prompts are prefilled one at a time and share the engine's time with
+// decoding; the role sets how time and memory are divided. A prefill-leaning
+// engine prefills faster and decodes fewer answers at once; a decode-leaning
+// engine is the reverse.
+//
+// Index
+//   EngineProfile   speed and capacity of an engine in one role
+//   MeasuredRates   the same figures as the planner's table
+//   EngineJob       one attempt on an engine
+//   EngineEvent     progress or end of a job
+//   BenchEngine     the engine
 
 #pragma once
 
@@ -21,19 +29,19 @@
 
 namespace hickorystand {
 
-// What a role makes of an engine.
+// Speed and capacity of an engine in one role.
 struct EngineProfile {
-  double prefill_rate = 0;   // prompt tokens a second, alone
-  double token_seconds = 0;  // between two tokens of one answer, alone
-  int64_t capacity = 0;      // answers at once
-  double prefill_share = 0;  // of the time while both kinds of work wait
+  double prefill_rate = 0;   // prompt tokens per second without decoding
+  double token_seconds = 0;  // per token of one answer without prefill
+  int64_t capacity = 0;      // concurrent answers
+  double prefill_share = 0;  // of the time while both kinds of work are pending
 
   bool operator==(const EngineProfile&) const = default;
 };
 
 const EngineProfile& ProfileOf(EndpointRole role);
 
-// The planner's table, from the same profiles.
+// Returns the planner's rate table, derived from the same profiles.
 RoleRatesTable MeasuredRates();
 
 // One attempt on an engine.
@@ -41,18 +49,18 @@
   size_t host = 0;
   AttemptId attempt = 0;
   Request request;
-  int64_t output_tokens = 0;  // what it really generates
+  int64_t output_tokens = 0;  // tokens actually generated
   int64_t resume_from = 0;
-  bool kills = false;  // crashes the engine at the end of its prompt
+  bool kills = false;  // crashes the engine at the end of its prefill
   double prompt_left = 0;
   int64_t cached_tokens = 0;
   double generated = 0;
   bool prefilling = false;
   bool reported_first = false;
-  int64_t reported = 0;  // tokens told of
+  int64_t reported = 0;  // tokens already reported
 };
 
-// What became of a job in one step.
+// Progress or end of a job in one step.
 struct EngineEvent {
   enum class Kind { kProgress, kDone, kKilled };
 
@@ -60,26 +68,26 @@
   size_t host = 0;
   AttemptId attempt = 0;
   RequestId request;
-  int64_t generated = 0;  // kProgress: since the last one; kDone: in all
+  int64_t generated = 0;  // kProgress: since the last event; kDone: total
   int64_t cached_tokens = 0;
 };
 
-// One engine or plain runner.
+// One engine, or one runner of the plain service.
 class BenchEngine {
  public:
   explicit BenchEngine(Endpoint endpoint);
 
-  // Takes a job; false if it refuses because it drains.
+  // Accepts a job; returns false while the engine is draining.
   bool Submit(const EngineJob& job);
   void Cancel(size_t host, AttemptId attempt);
 
-  // What a host has running or waiting here.
+  // Returns the attempts of a host that run or wait here.
   std::vector<AttemptId> AttemptsOf(size_t host) const;
 
-  // Works for so long.
+  // Advances by `seconds` and returns the events in that time.
   std::vector<EngineEvent> Step(double seconds);
 
-  // Dies; answers the jobs that ran or waited here.
+  // Stops the engine; returns the jobs that ran or waited here.
   std::vector<EngineJob> Crash();
   void Start(EndpointRole role);
   void Drain() { this->draining = true; }
@@ -114,7 +122,7 @@
   int64_t event_sequence = 0;
   std::list<EngineJob> waiting;
   std::list<EngineJob> decoding;
-  std::list<uint64_t> recent;  // prefix pieces, last used first
+  std::list<uint64_t> recent;  // prefix pieces, most recently used first
   std::unordered_map<uint64_t, std::list<uint64_t>::iterator> pieces;
   std::vector<uint64_t> added;
   std::vector<uint64_t> removed;
--- a/bench/policy_fleet.cc
+++ b/bench/policy_fleet.cc
@@ -20,19 +20,20 @@
 constexpr double kDigestPeriod = 0.25;
 constexpr double kReportPeriod = 1;
 constexpr double kReportsPerSnapshot = 30;
-constexpr double kEventLoss = 0.02;  // of cache events
+constexpr double kEventLoss = 0.02;  // fraction of cache events lost
 constexpr double kHop = 0.002;
 constexpr double kConnectTimeout = 1;
-constexpr double kSilence = 3;  // until a silent stream is given up
+constexpr double kSilence = 3;  // timeout of a stream without data
 constexpr double kRoleChangeSeconds = 8;
 constexpr double kReplaceSeconds = 30;
 constexpr double kReplaceEvery = 30;
-constexpr double kBootSeconds = 90;     // of an ordered endpoint
-constexpr double kRestartSeconds = 40;  // of a crashed one
+constexpr double kBootSeconds = 90;     // start-up time of an ordered endpoint
+constexpr double kRestartSeconds = 40;  // downtime of a crashed endpoint
 constexpr double kCheapCost = 0.3;
 constexpr int64_t kFloor = 2;
 constexpr double kShareWindow = 30;
-constexpr double kGeneratedWeight = 4;  // of a generated token in shares
+constexpr double kGeneratedWeight =
+    4;  // of a generated token in the cost for fair shares
 constexpr uint64_t kIncarnation = 1;
 
 std::string DataCentreName(int i) {
@@ -70,8 +71,8 @@
   return endpoint;
 }
 
-// What each account's fair share of `total` is: equal, but never above its
-// demand.
+// Max-min fair shares of `total`: equal for all accounts, but never above an
+// account's demand.
 std::map<AccountId, double> FairShares(std::map<AccountId, double> demand,
                                        double total) {
   std::map<AccountId, double> shares;
@@ -348,7 +349,7 @@
 void BenchFleet::Deliver(Node& node, const EngineEvent& event) {
   const Host& host = this->hosts[event.host];
   if (!this->Reachable(host.data_centre, node.engine.Identity().data_centre)) {
-    return;  // lost; the host gives the silent stream up
+    return;  // lost; the host's stream timeout ends the attempt
   }
   Caller& caller = this->callers.at(event.request);
   if (caller.first_token < 0) {
@@ -395,7 +396,8 @@
   }
 }
 
-// Streams between the cut data centre and the others go silent.
+// Streams between the partitioned data centre and the others stop delivering
+// data.
 void BenchFleet::CutStreams() {
   for (auto& [id, node] : this->nodes) {
     for (size_t host = 0; host < this->hosts.size(); ++host) {
@@ -521,7 +523,8 @@
     this->SendReport(node);
     return;
   }
-  // Cheap or not, and where: the nearest that the platform still has.
+  // Prefer an endpoint of the requested price class; otherwise take the first
+  // one that the platform still has.
   Node* best = nullptr;
   for (auto& [id, node] : this->nodes) {
     const Endpoint& endpoint = node.engine.Identity();
@@ -541,13 +544,13 @@
   }
 }
 
-// Drained engines change their role, are replaced, or are given back.
+// Changes the role of drained engines, replaces them, or releases them.
 void BenchFleet::FinishDrains() {
   for (auto& [id, node] : this->nodes) {
     if (!node.engine.Up() || !node.engine.Draining() || !node.engine.Idle()) {
       continue;
     }
-    node.engine.Crash();  // empty, so nobody is cut off
+    node.engine.Crash();  // idle, so no job is lost
     if (!node.given_back) {
       this->At(this->now + node.away,
                [this, &node = node] { this->Restart(node); });
--- a/bench/policy_fleet.h
+++ b/bench/policy_fleet.h
@@ -1,5 +1,9 @@
-// Runs one strategy through one scenario: entry hosts, engines, the lagging
-// messages between them, and what callers got in the end.
+// Simulates one strategy in one scenario: hosts, engines, delayed messages
+// between them, and the results that callers receive.
+//
+// Index
+//   RunFigures   metrics of one run
+//   BenchFleet   the simulated fleet
 
 #pragma once
 
@@ -20,25 +24,25 @@
 
 namespace hickorystand {
 
-// The figures of one run; see docs/POLICY.md.
+// Metrics of one run; see docs/POLICY.md.
 struct RunFigures {
-  double goodput = 0;              // answers whole and in time, a second
-  double p99_first_token = 0;      // seconds, of interactive answers
-  double worst_account_share = 0;  // served over fair share; 1 is fair
+  double goodput = 0;          // complete answers within deadline, per second
+  double p99_first_token = 0;  // seconds, of interactive answers
+  double worst_account_share = 0;  // lowest served / fair share; 1 is fair
   int64_t role_changes = 0;
   double endpoint_cost = 0;
-  double cheap_share = 0;   // of generated tokens
-  double cached_share = 0;  // of prompt tokens of whole answers
+  double cheap_share = 0;   // fraction of generated tokens
+  double cached_share = 0;  // fraction of prompt tokens of complete answers
   int64_t requests = 0;
   int64_t good = 0;
   int64_t refused = 0;
   int64_t once_run_twice = 0;  // must be 0
-  int64_t batch_lost = 0;      // batch requests neither answered nor waiting
+  int64_t batch_lost = 0;      // batch requests neither answered nor queued
 
   bool operator==(const RunFigures&) const = default;
 };
 
-// One run.
+// Runs one scenario in virtual time, driven by a queue of timed events.
 class BenchFleet {
  public:
   BenchFleet(const Strategy& strategy, const Scenario& scenario, uint64_t seed);
@@ -75,8 +79,8 @@
   struct Node {
     BenchEngine engine;
     EndpointRole next_role = EndpointRole::kMixed;
-    bool changing = false;  // drains for a role change or replacement
-    double away = 0;        // seconds away once drained
+    bool changing = false;  // draining for a role change or replacement
+    double away = 0;        // downtime in seconds after the drain
     bool given_back = false;
     bool reclaimed = false;
   };
--- a/bench/policy_scenarios.cc
+++ b/bench/policy_scenarios.cc
@@ -7,21 +7,21 @@
 namespace hickorystand {
 namespace {
 
-constexpr double kSwingSeconds = 180;  // from one mix to the next
+constexpr double kSwingSeconds = 180;  // duration of each mix
 constexpr double kRampSeconds = 30;
 
-// A quiet, even day.
+// Constant moderate load.
 TrafficRate Steady(double) {
   return {.requests_per_second = 10, .prompt_share = 0.5};
 }
 
-// Near what the fleet carries.
+// Constant load near the capacity of the fleet.
 TrafficRate Busy(double) {
   return {.requests_per_second = 16, .prompt_share = 0.5};
 }
 
-// From mostly prompts to mostly answers and back, each about what the fleet
-// would carry if every request ran where it costs least.
+// Alternates between prompt-heavy and answer-heavy traffic, each at about the
+// capacity of the fleet if every request ran where it costs least.
 TrafficRate Swinging(double second) {
   const double phase = std::fmod(second, 2 * kSwingSeconds);
   const double into = std::fmod(phase, kSwingSeconds);
@@ -31,7 +31,7 @@
           .prompt_share = 0.85 - 0.7 * answers};
 }
 
-// The smallest account sends twice what all others do.
+// The smallest account sends twice as much as all others together.
 TrafficRate Flooded(double second) {
   TrafficRate rate = {.requests_per_second = 12, .prompt_share = 0.5};
   rate.flood_per_second = second >= 120 && second < 420 ? 24 : 0;
--- a/bench/policy_scenarios.h
+++ b/bench/policy_scenarios.h
@@ -1,4 +1,9 @@
-// What the policies are put through: traffic and faults over virtual time.
+// Scenarios of the policy bench: traffic and faults over virtual time.
+//
+// Index
+//   Stretch        an interval of virtual time
+//   Scenario       one row of the table
+//   AllScenarios   all rows
 
 #pragma once
 
@@ -9,7 +14,7 @@
 
 namespace hickorystand {
 
-// A stretch of virtual time; empty if it never comes.
+// Half-open interval of virtual time in seconds; the default is empty.
 struct Stretch {
   double from = 0;
   double to = 0;
@@ -20,7 +25,7 @@
   bool operator==(const Stretch&) const = default;
 };
 
-// One row of the table.
+// One row of the table. The faults last for the given intervals.
 struct Scenario {
   std::string_view name;
   std::string_view story;
@@ -28,8 +33,8 @@
   TrafficRate (*rate)(double second) = nullptr;
   double report_lag = 0.5;
   Stretch zone_lost;      // the first cheap zone is reclaimed
-  Stretch cut_off;        // one data centre hears nobody else
-  Stretch platform_down;  // no claims, no orders
+  Stretch cut_off;        // one data centre is partitioned from the others
+  Stretch platform_down;  // endpoints can be neither claimed nor ordered
   bool replace = false;   // engines are replaced one by one
   bool has_shift = false;
 
--- a/bench/policy_workload.cc
+++ b/bench/policy_workload.cc
@@ -14,10 +14,10 @@
 namespace {
 
 constexpr int64_t kPieceTokens = 64;
-constexpr int kTemplates = 4;  // shared openings of prompts, per account
+constexpr int kTemplates = 4;  // shared prompt prefixes per account
 constexpr int64_t kTemplateTokens = 320;
 constexpr size_t kCasesKept = 20;
-constexpr double kFollowUps = 0.4;  // of prompt-leaning requests
+constexpr double kFollowUps = 0.4;  // fraction of prompt-heavy requests
 
 constexpr double kInteractiveDeadline = 5;
 constexpr double kLookupDeadline = 2;
@@ -47,7 +47,8 @@
   return z ^ (z >> 31);
 }
 
-// Pieces of the shared opening come from one chain, the rest from another.
+// Hashes the pieces of the shared prefix in one chain and the rest of the
+// prompt in another.
 std::vector<uint64_t> PrefixHashes(uint64_t opening,
                                    int64_t opening_tokens,
                                    uint64_t rest,
@@ -60,7 +61,7 @@
   return hashes;
 }
 
-// Draws requests one after the other.
+// Generates random requests, one per call.
 class TrafficSource {
  public:
   explicit TrafficSource(uint64_t seed) : random(seed) {}
@@ -123,11 +124,12 @@
   void SetTokens(Arrival& arrival, int64_t prompt, int64_t output) {
     arrival.request.prompt_tokens = prompt;
     arrival.output_tokens = output;
-    // Callers name an upper estimate, a fifth above what comes out.
+    // Callers state an upper estimate, one fifth above the actual length.
     arrival.request.output_tokens = output + output / 5;
   }
 
-  // Reads a case file, often one that was read before.
+  // A long prompt, often with the prefix of an earlier one (a case file read
+  // again).
   Arrival CaseFile(double time, size_t account) {
     Arrival arrival = this->Make(time, account);
     std::vector<Case>& cases = this->cases[account];
@@ -148,7 +150,7 @@
     return arrival;
   }
 
-  // Writes a long text from a short prompt.
+  // A short prompt with a long answer (a draft).
   Arrival Draft(double time, size_t account) {
     Arrival arrival = this->Make(time, account);
     this->SetTokens(arrival, this->Around(700, 0.4), this->Around(600, 0.4));
@@ -158,7 +160,7 @@
     return arrival;
   }
 
-  // A look-up or a filing at the plain service.
+  // A lookup or a filing at the plain service.
   Arrival Plain(double time, size_t account, bool lookup) {
     Arrival arrival = this->Make(time, account);
     arrival.request.service = kPlainService;
@@ -215,7 +217,7 @@
   }
   std::vector<Arrival> arrivals;
   std::string line;
-  std::getline(file, line);  // the heading
+  std::getline(file, line);  // header line
   for (int64_t number = 2; std::getline(file, line); ++number) {
     const auto fault = [&](const std::string& what) {
       return Fail(ErrorKind::kBadRequest,
