--- a/bench/capacity_bench.cc
+++ b/bench/capacity_bench.cc
@@ -119,7 +119,8 @@
     }
     Rig rig(scenario.shape);
     if (!rig.Settle()) {
-      std::printf("%-24s links didn't settle in 30 s\n", scenario.name.c_str());
+      std::printf("%-24s links not established within 30 s\n",
+                  scenario.name.c_str());
       return false;
     }
     rig.Measure(1, scenario.settle);  // skip the initial full-state transfer
--- a/bench/capacity_rig.cc
+++ b/bench/capacity_rig.cc
@@ -215,7 +215,8 @@
 
   void MakeDispatcher(const FleetShape& shape) {
     const auto* factory = Registry<Dispatcher>::Find("hickorystand");
-    assert(factory != nullptr && "the dispatcher isn't linked in");
+    assert(factory != nullptr &&
+           "dispatcher plug-in hickorystand is not linked in");
     this->dispatcher = (*factory)(
         {.host = this->peer.host, .data_centre = DataCentreId(kHere)});
     const auto fleet =
--- a/bench/limits_bench.cc
+++ b/bench/limits_bench.cc
@@ -191,12 +191,13 @@
                         cxxopts::value<uint32_t>()->default_value("40"));
   const auto given = options.parse(argc, argv);
   std::printf(
-      "most: in a window of 8 s under cuts, of what the limit allows\n"
-      "one host, small: refused in 100 at 0.95 of the limit, all at one host,\n"
+      "most: highest cost in a window of 8 s under partitions / allowed cost\n"
+      "one host, small: percent refused at 0.95 of the limit, all at one "
+      "host,\n"
       "  and large requests of a small account\n"
-      "follow: seconds until a move of all demand is followed\n"
-      "then messages and bytes sent by a scheduler and second, for the\n"
-      "  schedulers of 8, 60 and 330 hosts (8, 6, 57)\n");
+      "follow: seconds from a move of all demand to the last refusal\n"
+      "then messages and bytes sent per scheduler and second, for the\n"
+      "  schedulers of fleets of 8, 60 and 330 hosts (8, 6, 57)\n");
   std::printf("%-18s %8s %9s %9s %8s\n", "way", "most", "one host", "small",
               "follow");
   for (const Way& way : kWays) {
--- a/bench/policy_bench.cc
+++ b/bench/policy_bench.cc
@@ -176,17 +176,18 @@
 
 int Main(int argc, char** argv) {
   cxxopts::Options parser("policy_bench",
-                          "Measures the policy against baselines.");
+                          "Compares the product's policy with baselines.");
   BenchOptions options;
   parser.add_options()("out", "directory for policy.csv",
                        cxxopts::value(options.out))(
       "trace", "CSV of recorded requests", cxxopts::value(options.trace))(
-      "scenario", "only this one", cxxopts::value(options.scenario))(
-      "policy", "only this one", cxxopts::value(options.strategy))(
-      "ablations", "one rule off at a time", cxxopts::value(options.ablations))(
-      "seeds", "runs of each", cxxopts::value(options.seeds))(
-      "jobs", "runs at once", cxxopts::value(options.jobs))("help",
-                                                            "this text");
+      "scenario", "run only this scenario", cxxopts::value(options.scenario))(
+      "policy", "run only this policy", cxxopts::value(options.strategy))(
+      "ablations", "run the product with one rule switched off at a time",
+      cxxopts::value(options.ablations))(
+      "seeds", "runs per scenario and policy", cxxopts::value(options.seeds))(
+      "jobs", "concurrent runs", cxxopts::value(options.jobs))(
+      "help", "print this help");
   if (parser.parse(argc, argv).count("help") > 0) {
     std::cout << parser.help();
     return 0;
--- a/bench/policy_engine.cc
+++ b/bench/policy_engine.cc
@@ -43,7 +43,7 @@
     : endpoint(std::move(endpoint)), role(this->endpoint.role) {}
 
 bool BenchEngine::Submit(const EngineJob& job) {
-  assert(this->up && "a job for a dead engine");
+  assert(this->up && "job submitted to a stopped engine");
   if (this->draining) {
     return false;
   }
--- a/bench/policy_workload.cc
+++ b/bench/policy_workload.cc
@@ -213,7 +213,7 @@
 Result<std::vector<Arrival>> ReadTrace(const std::string& path) {
   std::ifstream file(path);
   if (!file) {
-    return Fail(ErrorKind::kNotFound, path + ": can't be read");
+    return Fail(ErrorKind::kNotFound, path + ": cannot be opened");
   }
   std::vector<Arrival> arrivals;
   std::string line;
@@ -225,12 +225,12 @@
     };
     const std::vector<std::string> fields = SplitFields(line);
     if (fields.size() != 8) {
-      return fault("a line needs 8 fields");
+      return fault("expected 8 fields");
     }
     const auto* name =
         std::ranges::find(kClassNames, fields[3], &ClassName::name);
     if (name == kClassNames.end()) {
-      return fault("class is interactive, batch, lookup or once");
+      return fault("class must be interactive, batch, lookup or once");
     }
     const auto integer = [&](size_t i) {
       return std::atoll(fields[i].c_str());
@@ -239,7 +239,8 @@
                     .deadline_seconds = std::atof(fields[7].c_str()),
                     .output_tokens = integer(6)};
     if (integer(4) <= 0 || integer(6) <= 0 || arrival.deadline_seconds <= 0) {
-      return fault("tokens and deadline must be above zero");
+      return fault(
+          "prompt_tokens, output_tokens and deadline must be above zero");
     }
     arrival.request = {.id = RequestId("t" + std::to_string(number)),
                        .account = AccountId(fields[1]),
