--- a/bench/policy_baselines.h
+++ b/bench/policy_baselines.h
@@ -6,7 +6,7 @@
 //   Strategy             one row of the table
 //   AllStrategies        the product and its baselines
 //   AllAblations         the product with one rule switched off in each row
-//   ThresholdWishes      role changes by a utilisation threshold
+//   ThresholdProposals   role changes by a utilisation threshold
 
 #pragma once
 
--- a/bench/policy_scenarios.h
+++ b/bench/policy_scenarios.h
@@ -1,7 +1,7 @@
 // Scenarios of the policy bench: traffic and faults over virtual time.
 //
 // Index
-//   Stretch        an interval of virtual time
+//   TimeInterval   an interval of virtual time
 //   Scenario       one row of the table
 //   AllScenarios   all rows
 
