--- a/bench/policy_fleet.cc
+++ b/bench/policy_fleet.cc
@@ -32,8 +32,7 @@
 constexpr double kCheapCost = 0.3;
 constexpr int64_t kFloor = 2;
 constexpr double kShareWindow = 30;
-constexpr double kGeneratedWeight =
-    4;  // of a generated token in the cost for fair shares
+constexpr double kGeneratedWeight = 4;  // of a generated token in shares
 constexpr uint64_t kIncarnation = 1;
 
 std::string DataCentreName(int i) {
