--- a/bench/limit_world.cc
+++ b/bench/limit_world.cc
@@ -5,11 +5,13 @@
 
 namespace hickorystand {
 
-bool CountingLimiter::Take(Instant now, const LimitRequest& ask, double heard) {
-  Bucket& bucket = this->Count(now, ask.account, heard);
+bool CountingLimiter::Take(Instant now,
+                           const LimitRequest& ask,
+                           double reachable_share) {
+  Bucket& bucket = this->Count(now, ask.account, reachable_share);
   const auto cost = static_cast<double>(ask.cost);
-  if (bucket.tokens <
-      std::min(cost, 0.75 * heard * this->limits.at(ask.account).burst)) {
+  if (bucket.tokens < std::min(cost, 0.75 * reachable_share *
+                                         this->limits.at(ask.account).burst)) {
     return false;
   }
   bucket.tokens -= cost;
@@ -19,12 +21,12 @@
 
 CountingLimiter::Bucket& CountingLimiter::Count(Instant now,
                                                 const AccountId& account,
-                                                double heard) {
+                                                double reachable_share) {
   const AccountLimit& limit = this->limits.at(account);
   Bucket& bucket = this->buckets[account];
-  bucket.tokens =
-      std::min(limit.burst * heard,
-               bucket.tokens + limit.rate * heard * ToSeconds(now - bucket.at));
+  bucket.tokens = std::min(limit.burst * reachable_share,
+                           bucket.tokens + limit.rate * reachable_share *
+                                               ToSeconds(now - bucket.at));
   bucket.at = now;
   return bucket;
 }
@@ -208,11 +210,12 @@
   const bool writes = !due->conditions.empty();
   const bool lost = this->answers_lost && writes;
   const Duration late = writes ? this->writes_late : Duration{};
-  const Duration way = this->options.store_delay / 2;
-  this->Later(way + late, [this, transaction = *due, answer, lost, way] {
+  const Duration one_way_delay = this->options.store_delay / 2;
+  this->Later(one_way_delay + late, [this, transaction = *due, answer, lost,
+                                     one_way_delay] {
     const StoreReply reply = this->Carry(transaction);
     if (!lost) {
-      this->Later(way, [answer, reply] { answer(reply); });
+      this->Later(one_way_delay, [answer, reply] { answer(reply); });
     }
   });
   if (lost) {
@@ -343,9 +346,10 @@
                          .cost = cost,
                          .priority = priority};
   if (this->options.counting) {
-    const double heard = static_cast<double>(this->Linked(number).size() + 1) /
-                         static_cast<double>(this->options.hosts);
-    if (host.counter->Take(this->now, ask, heard)) {
+    const double reachable_share =
+        static_cast<double>(this->Linked(number).size() + 1) /
+        static_cast<double>(this->options.hosts);
+    if (host.counter->Take(this->now, ask, reachable_share)) {
       this->Admit(account, cost);
     } else {
       ++tally.refused;
--- a/bench/limit_world.h
+++ b/bench/limit_world.h
@@ -66,7 +66,7 @@
  public:
   explicit CountingLimiter(const AccountLimits& limits) : limits(limits) {}
 
-  bool Take(Instant now, const LimitRequest& ask, double heard);
+  bool Take(Instant now, const LimitRequest& ask, double reachable_share);
   void OnCounts(Instant now, const std::map<AccountId, double>& admitted);
   std::map<AccountId, double> TakeCounts();
 
@@ -75,7 +75,7 @@
     double tokens = 0;
     Instant at{};
   };
-  Bucket& Count(Instant now, const AccountId& account, double heard);
+  Bucket& Count(Instant now, const AccountId& account, double reachable_share);
 
   AccountLimits limits;
   std::map<AccountId, Bucket> buckets;
--- a/bench/policy_fleet.cc
+++ b/bench/policy_fleet.cc
@@ -301,7 +301,7 @@
     return;
   }
   Caller& caller = this->callers.at(action.request);
-  const bool taken = node.engine.Submit({
+  const bool accepted = node.engine.Submit({
       .host = host,
       .attempt = action.attempt,
       .request = caller.arrival.request,
@@ -309,8 +309,8 @@
       .resume_from = action.resume_from,
       .kills = caller.arrival.kills,
   });
-  caller.runs += taken ? 1 : 0;
-  if (!taken) {
+  caller.runs += accepted ? 1 : 0;
+  if (!accepted) {
     this->Answer(host, action.attempt, AttemptOutcome::kRefused, kHop);
   }
 }
