--- a/bench/capacity_rig.cc
+++ b/bench/capacity_rig.cc
@@ -310,8 +310,8 @@
   StandIn(const StandIn&) = delete;
   StandIn& operator=(const StandIn&) = delete;
 
-  // Sends digests with the period of the measured host, which depends on the
-  // size of its mesh.
+  // Sends digests with the period of the measured host, as the hosts of its
+  // mesh would.
   void Start(const PeerHost& subject, const std::atomic<int64_t>& period_us) {
     this->task.Call([&] {
       this->links->SetHosts({subject});
