--- a/bench/policy_bench.cc
+++ b/bench/policy_bench.cc
@@ -1,9 +1,9 @@
-// Measures the policy against baselines in virtual time.
+// Compares the product's policy with baselines in virtual time.
 //
 //   policy_bench --out DIR             all scenarios, strategies and seeds
-//   policy_bench --trace FILE          a recorded list of requests instead
+//   policy_bench --trace FILE          a recorded trace of requests instead
 //
-// Prints a table of medians and spread, and writes DIR/policy.csv.
+// Prints a table of medians and ranges, and writes DIR/policy.csv.
 
 #include <algorithm>
 #include <array>
@@ -23,7 +23,7 @@
 namespace hickorystand {
 namespace {
 
-// One run of the matrix, and what came out.
+// One run of the matrix and its results.
 struct Run {
   const Scenario* scenario = nullptr;
   const Strategy* strategy = nullptr;
@@ -31,7 +31,7 @@
   RunFigures figures;
 };
 
-// What the command line asks for.
+// Command-line options.
 struct BenchOptions {
   std::string out;
   std::string trace;
@@ -141,7 +141,7 @@
   }
 }
 
-// Median and, behind it, least and most over the seeds.
+// Formats the median, followed by the minimum and maximum over the seeds.
 std::string Spread(std::vector<double> values) {
   std::ranges::sort(values);
   return Format("%8.3f", values[values.size() / 2]) + " (" +
@@ -176,17 +176,18 @@
 
 int Main(int argc, char** argv) {
   cxxopts::Options parser("policy_bench",
-                          "Measures the policy against baselines.");
+                          "Compares the product's policy with baselines.");
   BenchOptions options;
   parser.add_options()("out", "directory for policy.csv",
                        cxxopts::value(options.out))(
       "trace", "CSV of recorded requests", cxxopts::value(options.trace))(
-      "scenario", "only this one", cxxopts::value(options.scenario))(
-      "policy", "only this one", cxxopts::value(options.strategy))(
-      "ablations", "one rule off at a time", cxxopts::value(options.ablations))(
-      "seeds", "runs of each", cxxopts::value(options.seeds))(
-      "jobs", "runs at once", cxxopts::value(options.jobs))("help",
-                                                            "this text");
+      "scenario", "run only this scenario", cxxopts::value(options.scenario))(
+      "policy", "run only this policy", cxxopts::value(options.strategy))(
+      "ablations", "run the product with one rule switched off at a time",
+      cxxopts::value(options.ablations))(
+      "seeds", "runs per scenario and policy", cxxopts::value(options.seeds))(
+      "jobs", "concurrent runs", cxxopts::value(options.jobs))(
+      "help", "print this help");
   if (parser.parse(argc, argv).count("help") > 0) {
     std::cout << parser.help();
     return 0;
