--- a/bench/capacity_bench.cc
+++ b/bench/capacity_bench.cc
@@ -44,15 +44,15 @@
 struct Scenario {
   std::string name;
   FleetShape shape;
-  double settle = 11;  // warm-up in seconds, not reported
-  double stretch = 1;  // factor on the window length
+  double settle = 11;        // warm-up in seconds, not reported
+  double window_factor = 1;  // factor on the window length
 };
 
 // The summaries of a representative start at zero and list each account once to
 // each receiver, so warm-up takes longer. It sends in bursts 10 s apart, so its
 // windows are twice as long.
-constexpr double kSettleSums = 55;
-constexpr double kTwoPeriods = 2;
+constexpr double kSummarySettleSeconds = 55;
+constexpr double kSummaryWindowFactor = 2;
 
 std::vector<Scenario> Scenarios() {
   std::vector<Scenario> all;
@@ -77,12 +77,12 @@
   }
   all.push_back({"second representative",
                  {.distant = kTargetDataCentres - 1, .second = true},
-                 kSettleSums,
-                 kTwoPeriods});
+                 kSummarySettleSeconds,
+                 kSummaryWindowFactor});
   all.push_back({"first representative",
                  {.distant = kTargetDataCentres - 1, .first = true},
-                 kSettleSums,
-                 kTwoPeriods});
+                 kSummarySettleSeconds,
+                 kSummaryWindowFactor});
   return all;
 }
 
@@ -125,7 +125,7 @@
     }
     rig.Measure(1, scenario.settle);  // skip the initial full-state transfer
     const Measured measured =
-        Medians(rig.Measure(windows, seconds * scenario.stretch));
+        Medians(rig.Measure(windows, seconds * scenario.window_factor));
     PrintRow(scenario, measured);
     const Sample& sample = measured.median;
     csv << scenario.name << ',' << sample.Wire() << ','
@@ -197,7 +197,7 @@
 
   // Returns the CPU seconds per cache event, which adds one prefix piece and
   // removes another.
-  double Pieces(int count) {
+  double CacheEvents(int count) {
     const double start = ThreadCpuSeconds();
     for (int i = 0; i < count; ++i) {
       const auto hash = static_cast<uint64_t>(i) * 0x9e3779b97f4a7c15ULL;
@@ -274,7 +274,7 @@
     constexpr int kRequests = 4000;
     const double request = bench.Requests(kRequests);
     const double report = bench.Loads();
-    const double piece = bench.Pieces(50000);
+    const double piece = bench.CacheEvents(50000);
     std::printf("%-24d %14.0f %14.0f %14.0f %10.0f%s\n", endpoints, 1 / request,
                 1 / report, 1 / piece,
                 static_cast<double>(ThreadHeapBytes() - heap) / 1000,
--- a/bench/capacity_rig.cc
+++ b/bench/capacity_rig.cc
@@ -236,19 +236,19 @@
              std::atomic<int64_t>& period_us) {
     this->task.Call([&] {
       this->group->OnHostList(list);
-      this->Beat(period_us);
+      this->SendPeriodicDigest(period_us);
     });
   }
 
   // Sends a digest and schedules the next one.
-  void Beat(std::atomic<int64_t>& period_us) {
+  void SendPeriodicDigest(std::atomic<int64_t>& period_us) {
     const Duration delay = this->group->NextDigestDelay();
     this->period = ToSeconds(delay);
     period_us = delay.count();
     this->load.Advance(this->period, this->digest);
     this->group->SendDigest(this->digest);
-    this->timer =
-        Timer::After(delay, [this, &period_us] { this->Beat(period_us); });
+    this->timer = Timer::After(
+        delay, [this, &period_us] { this->SendPeriodicDigest(period_us); });
   }
 
   BootClock clock;
@@ -316,7 +316,7 @@
     this->task.Call([&] {
       this->links->SetHosts({subject});
       if (!this->distant) {
-        this->Beat(period_us);
+        this->SendPeriodicDigest(period_us);
       }
       if (this->distant || this->relays) {
         this->slow =
@@ -325,12 +325,12 @@
     });
   }
 
-  void Beat(const std::atomic<int64_t>& period_us) {
+  void SendPeriodicDigest(const std::atomic<int64_t>& period_us) {
     const Duration period(period_us.load());
     this->load.Advance(ToSeconds(period), this->digest);
     this->links->SendDigest(DigestScope::kHost, this->digest);
-    this->timer =
-        Timer::After(period, [this, &period_us] { this->Beat(period_us); });
+    this->timer = Timer::After(
+        period, [this, &period_us] { this->SendPeriodicDigest(period_us); });
   }
 
   // Same as in DigestSummary: costs are rounded down to kSummaryUnit, and
--- a/bench/limit_world.cc
+++ b/bench/limit_world.cc
@@ -15,7 +15,7 @@
     return false;
   }
   bucket.tokens -= cost;
-  this->untold[ask.account] += cost;
+  this->unsent_counts[ask.account] += cost;
   return true;
 }
 
@@ -39,7 +39,7 @@
 }
 
 std::map<AccountId, double> CountingLimiter::TakeCounts() {
-  return std::exchange(this->untold, {});
+  return std::exchange(this->unsent_counts, {});
 }
 
 LimitWorld::LimitWorld(LimitWorldOptions options)
@@ -64,10 +64,10 @@
   host.up = true;
   host.frozen = false;
   host.process = ++this->last_process;
-  host.held_up.clear();
+  host.deferred_while_frozen.clear();
   host.waiting.clear();
   host.told.clear();
-  host.unheard_since.clear();
+  host.unreachable_since.clear();
   host.shares = std::make_unique<LimitShares>(host.id, this->options.shares);
   LimitOptions how = this->options.how;
   how.first_number = host.process * 1000000;
@@ -77,7 +77,7 @@
   if (host.scheduler) {
     host.shares->Start();
   }
-  this->OnHost(number, host.process, [this, number] { this->Tick(number); });
+  this->RunOnHost(number, host.process, [this, number] { this->Tick(number); });
 }
 
 void LimitWorld::Later(Duration delay, std::function<void()> happen) {
@@ -86,17 +86,18 @@
 
 // Runs `happen` in the given process of a host: deferred while the host is
 // frozen, dropped if that process has ended.
-void LimitWorld::OnHost(int number,
-                        int64_t process,
-                        std::function<void()> happen) {
+void LimitWorld::RunOnHost(int number,
+                           int64_t process,
+                           std::function<void()> happen) {
   Host& host = this->At(number);
   if (!host.up || host.process != process) {
     return;
   }
   if (host.frozen) {
-    host.held_up.push_back([this, number, process, happen = std::move(happen)] {
-      this->OnHost(number, process, happen);
-    });
+    host.deferred_while_frozen.push_back(
+        [this, number, process, happen = std::move(happen)] {
+          this->RunOnHost(number, process, happen);
+        });
     return;
   }
   happen();
@@ -116,7 +117,7 @@
   this->now = end;
 }
 
-bool LimitWorld::Reach(int one, int other) const {
+bool LimitWorld::CanReach(int one, int other) const {
   return !this->cuts.contains(std::minmax(one, other));
 }
 
@@ -128,16 +129,16 @@
   for (int i = 0; i < this->options.hosts; ++i) {
     const Host& other = this->At(i);
     if (i == number || !other.up || !other.scheduler) {
-      host.unheard_since.erase(i);
+      host.unreachable_since.erase(i);
       continue;
     }
-    if (this->Reach(number, i) && !other.frozen) {
-      host.unheard_since.erase(i);
+    if (this->CanReach(number, i) && !other.frozen) {
+      host.unreachable_since.erase(i);
     } else {
-      host.unheard_since.try_emplace(i, this->now);
+      host.unreachable_since.try_emplace(i, this->now);
     }
-    const auto unheard = host.unheard_since.find(i);
-    if (unheard == host.unheard_since.end() ||
+    const auto unheard = host.unreachable_since.find(i);
+    if (unheard == host.unreachable_since.end() ||
         this->now - unheard->second < this->options.silence) {
       linked.push_back(other.id);
     }
@@ -163,7 +164,7 @@
   Host& host = this->At(number);
   const int64_t process = host.process;
   this->Later(this->options.tick, [this, number, process] {
-    this->OnHost(number, process, [this, number] { this->Tick(number); });
+    this->RunOnHost(number, process, [this, number] { this->Tick(number); });
   });
   this->CallStore(number);
   host.limiter->SetPeers(this->now, this->Linked(number));
@@ -197,7 +198,7 @@
   const Instant asked = this->now;
   const int64_t process = host.process;
   const auto answer = [this, number, process, asked](const StoreReply& reply) {
-    this->OnHost(number, process, [this, number, asked, reply] {
+    this->RunOnHost(number, process, [this, number, asked, reply] {
       this->At(number).shares->OnReply(this->now, asked, reply);
       this->CallStore(number);
     });
@@ -209,7 +210,7 @@
   }
   const bool writes = !due->conditions.empty();
   const bool lost = this->answers_lost && writes;
-  const Duration late = writes ? this->writes_late : Duration{};
+  const Duration late = writes ? this->write_delay : Duration{};
   const Duration one_way_delay = this->options.store_delay / 2;
   this->Later(one_way_delay + late, [this, transaction = *due, answer, lost,
                                      one_way_delay] {
@@ -252,7 +253,7 @@
   const auto found = std::ranges::find(this->hosts, to, &Host::id);
   const int at = static_cast<int>(found - this->hosts.begin());
   const int64_t process = found->process;
-  if (!this->Reach(from, at) || this->Random() < this->options.lost) {
+  if (!this->CanReach(from, at) || this->Random() < this->options.lost) {
     return;
   }
   const int copies = this->Random() < this->options.repeated ? 2 : 1;
@@ -261,7 +262,7 @@
                                ? FromSeconds(this->Random())
                                : Duration{};
     this->Later(this->options.delay + extra, [this, at, process, deliver] {
-      this->OnHost(at, process, [deliver, at] { deliver(at); });
+      this->RunOnHost(at, process, [deliver, at] { deliver(at); });
     });
   }
 }
@@ -405,7 +406,7 @@
   if (!std::exchange(host.frozen, false)) {
     return;
   }
-  for (const auto& held : std::exchange(host.held_up, {})) {
+  for (const auto& held : std::exchange(host.deferred_while_frozen, {})) {
     held();
   }
 }
@@ -452,7 +453,8 @@
   return sum;
 }
 
-double LimitWorld::MostIn(const AccountId& account, double window) const {
+double LimitWorld::MaxCostInWindow(const AccountId& account,
+                                   double window) const {
   const auto found = this->admitted.find(account);
   if (found == this->admitted.end()) {
     return 0;
--- a/bench/limit_world.h
+++ b/bench/limit_world.h
@@ -7,7 +7,7 @@
 //   world.Start();
 //   world.Offer(host, account, cost);
 //   world.Run(seconds);
-//   world.MostIn(account, window);
+//   world.MaxCostInWindow(account, window);
 //
 // Index
 //   LimitWorldOptions   fleet, network and store settings
@@ -79,7 +79,7 @@
 
   AccountLimits limits;
   std::map<AccountId, Bucket> buckets;
-  std::map<AccountId, double> untold;
+  std::map<AccountId, double> unsent_counts;
 };
 
 class LimitWorld {
@@ -114,7 +114,7 @@
   void SetStoreDown(bool down) { this->store_down = down; }
   void SetAnswersLost(bool lost) { this->answers_lost = lost; }
   // Delays the effect of writes by this much after they are sent.
-  void SetWritesLate(Duration late) { this->writes_late = late; }
+  void SetWritesLate(Duration late) { this->write_delay = late; }
 
   bool IsUp(int host) const { return this->At(host).up; }
   double Own(int host) const;
@@ -123,7 +123,7 @@
   double OwnSum() const;
 
   // Highest cost admitted in any window of `window` seconds.
-  double MostIn(const AccountId& account, double window) const;
+  double MaxCostInWindow(const AccountId& account, double window) const;
 
   const LimitTally& Tally(const AccountId& account) {
     return this->tallies[account];
@@ -152,10 +152,11 @@
     std::unique_ptr<LimitShares> shares;
     std::unique_ptr<AccountLimiter> limiter;
     std::unique_ptr<CountingLimiter> counter;
-    std::map<int, Instant> unheard_since;
+    std::map<int, Instant> unreachable_since;
     std::map<int64_t, LimitRequest> waiting;
     std::map<int, int64_t> told;
-    std::vector<std::function<void()>> held_up;  // events deferred while frozen
+    std::vector<std::function<void()>>
+        deferred_while_frozen;  // events deferred while frozen
   };
 
   Host& At(int host) { return this->hosts[static_cast<size_t>(host)]; }
@@ -163,8 +164,8 @@
     return this->hosts[static_cast<size_t>(host)];
   }
   void Later(Duration delay, std::function<void()> happen);
-  void OnHost(int host, int64_t process, std::function<void()> happen);
-  bool Reach(int one, int other) const;
+  void RunOnHost(int host, int64_t process, std::function<void()> happen);
+  bool CanReach(int one, int other) const;
   std::vector<HostId> Linked(int host);
   std::set<HostId> Present(int host);
   void Begin(int host);
@@ -193,7 +194,7 @@
   int64_t revision = 100;
   bool store_down = false;
   bool answers_lost = false;
-  Duration writes_late{};
+  Duration write_delay{};
   int64_t messages = 0;
   int64_t entries = 0;
   std::map<AccountId, LimitTally> tallies;
--- a/bench/limits_bench.cc
+++ b/bench/limits_bench.cc
@@ -32,23 +32,25 @@
 const AccountId kBig("big");
 const AccountId kSmall("small");
 
-struct Way {
+struct LimitMethod {
   const char* name;
   LimitPooling pooling;
   bool counting;
 };
 
-constexpr std::array kWays = {
-    Way{"equal parts", LimitPooling::kNone, false},
-    Way{"moved between all", LimitPooling::kPeers, false},
-    Way{"pooled at a home", LimitPooling::kHome, false},
-    Way{"counts exchanged", LimitPooling::kNone, true}};
+constexpr std::array kLimitMethods = {
+    LimitMethod{"equal parts", LimitPooling::kNone, false},
+    LimitMethod{"moved between all", LimitPooling::kPeers, false},
+    LimitMethod{"pooled at a home", LimitPooling::kHome, false},
+    LimitMethod{"counts exchanged", LimitPooling::kNone, true}};
 
 AccountLimit Limit(double rate) {
   return {.rate = rate, .burst = rate, .unit = LimitUnit::kTokens};
 }
 
-LimitWorldOptions Options(const Way& way, int hosts, uint32_t seed = 1) {
+LimitWorldOptions Options(const LimitMethod& way,
+                          int hosts,
+                          uint32_t seed = 1) {
   return {.hosts = hosts,
           .limits = {{kBig, Limit(kRate)}, {kSmall, Limit(kSmallRate)}},
           .how = {.pooling = way.pooling, .overage = kOverage, .slack = kSlack},
@@ -76,14 +78,14 @@
          static_cast<double>(tally.offered);
 }
 
-double RefusedAtOneHost(const Way& way) {
+double RefusedAtOneHost(const LimitMethod& way) {
   LimitWorld world(Options(way, 6));
   world.Start();
   Play(world, kBig, 0.95 * kRate, kCost, 10, [](int) { return 2; });
   return RefusedPercent(world, kBig);
 }
 
-double RefusedOfASmallAccount(const Way& way) {
+double RefusedForSmallAccount(const LimitMethod& way) {
   LimitWorld world(Options(way, 6));
   world.Start();
   Play(world, kSmall, 0.95 * kSmallRate, kLargeCost, 60,
@@ -93,7 +95,7 @@
 
 // Returns the seconds from the moment when all demand moves to another host
 // until the last refusal.
-double TimeToFollow(const Way& way) {
+double TimeToAdapt(const LimitMethod& way) {
   LimitWorld world(Options(way, 6));
   world.Start();
   Play(world, kBig, 0.95 * kRate, kCost, 5, [](int) { return 0; });
@@ -111,7 +113,7 @@
 // Returns the highest cost admitted in any window, as a fraction of the allowed
 // cost, over partitions into two or three groups that start at various points
 // while the account sends through all hosts.
-double MostUnderCuts(const Way& way, uint32_t seeds) {
+double MaxCostUnderPartitions(const LimitMethod& way, uint32_t seeds) {
   double most = 0;
   for (uint32_t seed = 0; seed < seeds; ++seed) {
     LimitWorld world(Options(way, 6, seed));
@@ -131,7 +133,7 @@
          [](int n) { return n % 6; });
     world.HealAll();
     Play(world, kBig, 7.5 * kRate, kCost, 8, [](int n) { return n % 6; });
-    most = std::max(most, world.MostIn(kBig, kWindow));
+    most = std::max(most, world.MaxCostInWindow(kBig, kWindow));
   }
   return most / (kRate * (kWindow + 1) * (1 + kOverage) + kSlack);
 }
@@ -143,7 +145,10 @@
 
 // Measures the traffic with accounts at half of their limits, each sending
 // through all hosts.
-Traffic TrafficOf(const Way& way, int hosts, int accounts, double requests) {
+Traffic TrafficOf(const LimitMethod& way,
+                  int hosts,
+                  int accounts,
+                  double requests) {
   LimitWorldOptions options = Options(way, hosts);
   options.limits.clear();
   const double rate = 2 * requests * static_cast<double>(kCost) / accounts;
@@ -169,10 +174,10 @@
           .bytes = (sent * kMessageBytes + listed * kEntryBytes) / per};
 }
 
-void PrintWay(const Way& way, uint32_t seeds) {
+void PrintMethod(const LimitMethod& way, uint32_t seeds) {
   std::printf("%-18s %8.2f %9.1f %9.1f %8.1f", way.name,
-              MostUnderCuts(way, seeds), RefusedAtOneHost(way),
-              RefusedOfASmallAccount(way), TimeToFollow(way));
+              MaxCostUnderPartitions(way, seeds), RefusedAtOneHost(way),
+              RefusedForSmallAccount(way), TimeToAdapt(way));
   // The numbers of schedulers in fleets of 8, 60 and 330 hosts.
   for (const auto& [hosts, accounts, requests] :
        {std::tuple(8, 8, 90.0), std::tuple(6, 16, 206.0),
@@ -200,8 +205,8 @@
       "  schedulers of fleets of 8, 60 and 330 hosts (8, 6, 57)\n");
   std::printf("%-18s %8s %9s %9s %8s\n", "way", "most", "one host", "small",
               "follow");
-  for (const Way& way : kWays) {
-    PrintWay(way, given["seeds"].as<uint32_t>());
+  for (const LimitMethod& way : kLimitMethods) {
+    PrintMethod(way, given["seeds"].as<uint32_t>());
   }
   return 0;
 }
--- a/bench/policy_baselines.cc
+++ b/bench/policy_baselines.cc
@@ -209,7 +209,7 @@
 
 // Sends prompt-heavy requests to one half of the endpoints, the others to the
 // other half.
-class ByRole final : public PlainDispatcher {
+class RoleSplitDispatcher final : public PlainDispatcher {
  protected:
   EndpointId Pick(const Request& request,
                   const std::vector<EndpointId>& ids) override {
@@ -262,8 +262,10 @@
     Strategy{"round-robin", RolePolicy::kMixed, false, &MakePlain<RoundRobin>},
     Strategy{"least-outstanding", RolePolicy::kMixed, false,
              &MakePlain<LeastOutstanding>},
-    Strategy{"static-split", RolePolicy::kSplit, false, &MakePlain<ByRole>},
-    Strategy{"threshold", RolePolicy::kThreshold, false, &MakePlain<ByRole>},
+    Strategy{"static-split", RolePolicy::kSplit, false,
+             &MakePlain<RoleSplitDispatcher>},
+    Strategy{"threshold", RolePolicy::kThreshold, false,
+             &MakePlain<RoleSplitDispatcher>},
     Strategy{"fifo", RolePolicy::kMixed, false, &MakeFifo},
 };
 
@@ -309,7 +311,7 @@
   double running = 0;
   double capacity = 0;
   int64_t count = 0;
-  const EndpointState* emptiest = nullptr;
+  const EndpointState* least_loaded = nullptr;
 
   double Occupancy() const {
     return this->capacity > 0 ? this->running / this->capacity : 0;
@@ -326,7 +328,7 @@
   return kAblations;
 }
 
-std::vector<PlacementProposal> ThresholdWishes(
+std::vector<PlacementProposal> ThresholdProposals(
     const std::vector<EndpointState>& endpoints) {
   constexpr double kBusy = 0.8;
   constexpr double kIdle = 0.5;
@@ -343,8 +345,9 @@
     half.running += static_cast<double>(state.running);
     half.capacity += static_cast<double>(ProfileOf(state.role).capacity);
     half.count += 1;
-    if (half.emptiest == nullptr || state.running < half.emptiest->running) {
-      half.emptiest = &state;
+    if (half.least_loaded == nullptr ||
+        state.running < half.least_loaded->running) {
+      half.least_loaded = &state;
     }
   }
   const auto wish = [&](EndpointRole from, EndpointRole to) {
@@ -356,7 +359,7 @@
   for (const auto& [from, to] :
        {std::pair(kPrefill, kDecode), std::pair(kDecode, kPrefill)}) {
     if (wish(from, to)) {
-      return {{.endpoint = halves[from].emptiest->endpoint.id,
+      return {{.endpoint = halves[from].least_loaded->endpoint.id,
                .kind = "set_role",
                .argument = NameOfRole(to),
                .reason = "one half is busy, the other idle"}};
--- a/bench/policy_baselines.h
+++ b/bench/policy_baselines.h
@@ -44,7 +44,7 @@
 std::span<const Strategy> AllAblations();
 
 // Proposes role changes by a threshold on the utilisation of the two halves.
-std::vector<PlacementProposal> ThresholdWishes(
+std::vector<PlacementProposal> ThresholdProposals(
     const std::vector<EndpointState>& endpoints);
 
 }  // namespace hickorystand
--- a/bench/policy_engine.cc
+++ b/bench/policy_engine.cc
@@ -110,23 +110,23 @@
     if (!job->prefilling) {
       job->prefilling = true;
       job->cached_tokens = this->Cached(*job);
-      job->prompt_left = static_cast<double>(
+      job->remaining_prompt_tokens = static_cast<double>(
           job->request.prompt_tokens - job->cached_tokens + job->resume_from);
     }
-    const double done =
-        std::min(job->prompt_left, seconds * this->Profile().prefill_rate);
-    job->prompt_left -= done;
+    const double done = std::min(job->remaining_prompt_tokens,
+                                 seconds * this->Profile().prefill_rate);
+    job->remaining_prompt_tokens -= done;
     seconds -= done / this->Profile().prefill_rate;
-    if (job->prompt_left > 1e-6) {
+    if (job->remaining_prompt_tokens > 1e-6) {
       return;
     }
     if (job->kills) {
-      events.push_back({EngineEvent::Kind::kKilled, job->host, job->attempt,
-                        job->request.id, 0, 0});
+      events.push_back({EngineEvent::Kind::kEngineCrash, job->host,
+                        job->attempt, job->request.id, 0, 0});
       return;
     }
     for (const uint64_t piece : job->request.prefix_hashes) {
-      this->Remember(piece);
+      this->InsertCachedPiece(piece);
     }
     job->generated = 1;
     job->reported = 1;
@@ -191,7 +191,7 @@
                               static_cast<int64_t>(hashes.size());
 }
 
-void BenchEngine::Remember(uint64_t piece) {
+void BenchEngine::InsertCachedPiece(uint64_t piece) {
   const auto found = this->pieces.find(piece);
   if (found != this->pieces.end()) {
     this->recent.splice(this->recent.begin(), this->recent, found->second);
@@ -211,7 +211,7 @@
   const EngineProfile& profile = this->Profile();
   double queued = 0;
   for (const EngineJob& job : this->waiting) {
-    queued += job.prefilling ? job.prompt_left
+    queued += job.prefilling ? job.remaining_prompt_tokens
                              : static_cast<double>(job.request.prompt_tokens);
   }
   return {.endpoint = this->endpoint.id,
--- a/bench/policy_engine.h
+++ b/bench/policy_engine.h
@@ -52,7 +52,7 @@
   int64_t output_tokens = 0;  // tokens actually generated
   int64_t resume_from = 0;
   bool kills = false;  // crashes the engine at the end of its prefill
-  double prompt_left = 0;
+  double remaining_prompt_tokens = 0;
   int64_t cached_tokens = 0;
   double generated = 0;
   bool prefilling = false;
@@ -62,7 +62,7 @@
 
 // Progress or end of a job in one step.
 struct EngineEvent {
-  enum class Kind { kProgress, kDone, kKilled };
+  enum class Kind { kProgress, kDone, kEngineCrash };
 
   Kind kind = Kind::kProgress;
   size_t host = 0;
@@ -110,7 +110,7 @@
   void Prefill(double seconds, std::vector<EngineEvent>& events);
   void Decode(double seconds, std::vector<EngineEvent>& events);
   int64_t Cached(const EngineJob& job);
-  void Remember(uint64_t piece);
+  void InsertCachedPiece(uint64_t piece);
   std::list<EngineJob>::iterator NextPrompt();
 
   Endpoint endpoint;
--- a/bench/policy_fleet.cc
+++ b/bench/policy_fleet.cc
@@ -21,9 +21,9 @@
 constexpr double kReportPeriod = 1;
 constexpr double kReportsPerSnapshot = 30;
 constexpr double kEventLoss = 0.02;  // fraction of cache events lost
-constexpr double kHop = 0.002;
+constexpr double kNetworkDelay = 0.002;
 constexpr double kConnectTimeout = 1;
-constexpr double kSilence = 3;  // timeout of a stream without data
+constexpr double kStreamTimeout = 3;  // timeout of a stream without data
 constexpr double kRoleChangeSeconds = 8;
 constexpr double kReplaceSeconds = 30;
 constexpr double kReplaceEvery = 30;
@@ -92,7 +92,7 @@
          kGeneratedWeight * static_cast<double>(arrival.output_tokens);
 }
 
-bool HangsUp(RequestClass request_class) {
+bool DisconnectsAtDeadline(RequestClass request_class) {
   return request_class == RequestClass::kInteractive ||
          request_class == RequestClass::kLookup;
 }
@@ -167,7 +167,7 @@
 
 bool BenchFleet::Reachable(const DataCentreId& a, const DataCentreId& b) const {
   const DataCentreId cut(DataCentreName(kDataCentres - 1));
-  return a == b || !this->scenario.cut_off.Holds(this->now) ||
+  return a == b || !this->scenario.partitioned.Holds(this->now) ||
          (a != cut && b != cut);
 }
 
@@ -183,8 +183,8 @@
   if (this->scenario.replace) {
     this->Every(kReplaceEvery, [this] { this->ReplaceNext(); });
   }
-  if (this->scenario.cut_off.to > 0) {
-    this->At(this->scenario.cut_off.from + kStep,
+  if (this->scenario.partitioned.to > 0) {
+    this->At(this->scenario.partitioned.from + kStep,
              [this] { this->CutStreams(); });
   }
   if (this->scenario.zone_lost.to > 0) {
@@ -241,7 +241,7 @@
   if (request.service == kLanguageService) {
     this->planner.OnRequest(request.prompt_tokens, request.output_tokens);
   }
-  if (HangsUp(request.request_class)) {
+  if (DisconnectsAtDeadline(request.request_class)) {
     this->At(this->now + arrival.deadline_seconds, [this, id = request.id] {
       Caller& one = this->callers.at(id);
       if (!one.ended && one.first_token < 0) {
@@ -261,12 +261,13 @@
     switch (action.kind) {
       case DispatchKind::kClaim: {
         const bool down = this->scenario.platform_down.Holds(this->now);
-        this->At(this->now + kHop, [this, host, down, id = action.request] {
-          this->Act(host, this->hosts[host].dispatcher->OnClaim(
-                              this->Now(), id,
-                              down ? ClaimResult::kUnavailable
-                                   : ClaimResult::kGranted));
-        });
+        this->At(this->now + kNetworkDelay,
+                 [this, host, down, id = action.request] {
+                   this->Act(host, this->hosts[host].dispatcher->OnClaim(
+                                       this->Now(), id,
+                                       down ? ClaimResult::kUnavailable
+                                            : ClaimResult::kGranted));
+                 });
         break;
       }
       case DispatchKind::kSend:
@@ -297,7 +298,7 @@
     return;
   }
   if (!node.engine.Up()) {
-    this->Answer(host, action.attempt, AttemptOutcome::kNotSent, kHop);
+    this->Answer(host, action.attempt, AttemptOutcome::kNotSent, kNetworkDelay);
     return;
   }
   Caller& caller = this->callers.at(action.request);
@@ -311,7 +312,7 @@
   });
   caller.runs += accepted ? 1 : 0;
   if (!accepted) {
-    this->Answer(host, action.attempt, AttemptOutcome::kRefused, kHop);
+    this->Answer(host, action.attempt, AttemptOutcome::kRefused, kNetworkDelay);
   }
 }
 
@@ -330,11 +331,11 @@
 
 void BenchFleet::StepEngines() {
   for (auto& [id, node] : this->nodes) {
-    if (!node.given_back && !node.reclaimed) {
+    if (!node.released_to_platform && !node.reclaimed) {
       this->cost += node.engine.Identity().cost_per_hour * kStep / 3600;
     }
     for (const EngineEvent& event : node.engine.Step(kStep)) {
-      if (event.kind == EngineEvent::Kind::kKilled) {
+      if (event.kind == EngineEvent::Kind::kEngineCrash) {
         this->CrashEngine(node);
         this->At(this->now + kRestartSeconds,
                  [this, &node] { this->Restart(node); });
@@ -383,12 +384,13 @@
 void BenchFleet::CrashEngine(Node& node) {
   node.changing = false;
   for (const EngineJob& job : node.engine.Crash()) {
-    this->Answer(job.host, job.attempt, AttemptOutcome::kCrashed, kHop);
+    this->Answer(job.host, job.attempt, AttemptOutcome::kCrashed,
+                 kNetworkDelay);
   }
 }
 
 void BenchFleet::Restart(Node& node) {
-  if (!node.engine.Up() && !node.reclaimed && !node.given_back) {
+  if (!node.engine.Up() && !node.reclaimed && !node.released_to_platform) {
     node.changing = false;
     node.engine.Start(node.next_role);
     this->SendReport(node);
@@ -406,7 +408,7 @@
       }
       for (const AttemptId attempt : node.engine.AttemptsOf(host)) {
         node.engine.Cancel(host, attempt);
-        this->Answer(host, attempt, AttemptOutcome::kSilent, kSilence);
+        this->Answer(host, attempt, AttemptOutcome::kSilent, kStreamTimeout);
       }
     }
   }
@@ -454,7 +456,7 @@
                   .incarnation = kIncarnation,
                   .sequence = ++from.digests};
     from.dispatcher->FillDigest(digest);
-    this->At(this->now + kHop, [this, digest] {
+    this->At(this->now + kNetworkDelay, [this, digest] {
       for (size_t i = 0; i < this->hosts.size(); ++i) {
         Host& to = this->hosts[i];
         if (to.id != digest.host &&
@@ -473,7 +475,7 @@
   std::vector<EndpointState> states;
   for (const auto& [id, node] : this->nodes) {
     if (node.engine.Identity().service == kLanguageService &&
-        !node.given_back) {
+        !node.released_to_platform) {
       states.push_back(
           {.endpoint = node.engine.Identity(),
            .role = node.changing ? node.next_role : node.engine.Role(),
@@ -493,7 +495,7 @@
   if (this->strategy.roles == RolePolicy::kPlanner) {
     wishes = this->planner.ProposeRoleChanges(this->Now(), this->States());
   } else if (this->strategy.roles == RolePolicy::kThreshold) {
-    wishes = ThresholdWishes(this->States());
+    wishes = ThresholdProposals(this->States());
   }
   for (const PlacementProposal& wish : wishes) {
     Node& node = this->nodes.at(wish.endpoint);
@@ -517,7 +519,7 @@
   }
   if (wish->change < 0) {
     Node& node = this->nodes.at(wish->endpoint);
-    node.given_back = true;
+    node.released_to_platform = true;
     node.engine.Drain();
     this->SendReport(node);
     return;
@@ -527,7 +529,7 @@
   Node* best = nullptr;
   for (auto& [id, node] : this->nodes) {
     const Endpoint& endpoint = node.engine.Identity();
-    if (!node.given_back || node.engine.Up()) {
+    if (!node.released_to_platform || node.engine.Up()) {
       continue;
     }
     if (best == nullptr || (endpoint.cheap == wish->cheap &&
@@ -536,7 +538,7 @@
     }
   }
   if (best != nullptr) {
-    best->given_back = false;
+    best->released_to_platform = false;
     best->next_role = EndpointRole::kMixed;
     best->changing = true;
     this->At(this->now + kBootSeconds, [this, best] { this->Restart(*best); });
@@ -550,7 +552,7 @@
       continue;
     }
     node.engine.Crash();  // idle, so no job is lost
-    if (!node.given_back) {
+    if (!node.released_to_platform) {
       this->At(this->now + node.away,
                [this, &node = node] { this->Restart(node); });
     }
@@ -580,7 +582,7 @@
   if (done < 0) {
     return false;
   }
-  const bool whole = !HangsUp(arrival.request.request_class);
+  const bool whole = !DisconnectsAtDeadline(arrival.request.request_class);
   return (whole ? done : first_token) - arrival.time <=
          arrival.deadline_seconds + kStep;
 }
--- a/bench/policy_fleet.h
+++ b/bench/policy_fleet.h
@@ -81,7 +81,7 @@
     EndpointRole next_role = EndpointRole::kMixed;
     bool changing = false;  // draining for a role change or replacement
     double away = 0;        // downtime in seconds after the drain
-    bool given_back = false;
+    bool released_to_platform = false;
     bool reclaimed = false;
   };
 
--- a/bench/policy_scenarios.cc
+++ b/bench/policy_scenarios.cc
@@ -7,7 +7,7 @@
 namespace hickorystand {
 namespace {
 
-constexpr double kSwingSeconds = 180;  // duration of each mix
+constexpr double kMixSeconds = 180;  // duration of each mix
 constexpr double kRampSeconds = 30;
 
 // Constant moderate load.
@@ -22,11 +22,11 @@
 
 // Alternates between prompt-heavy and answer-heavy traffic, each at about the
 // capacity of the fleet if every request ran where it costs least.
-TrafficRate Swinging(double second) {
-  const double phase = std::fmod(second, 2 * kSwingSeconds);
-  const double into = std::fmod(phase, kSwingSeconds);
+TrafficRate AlternatingMix(double second) {
+  const double phase = std::fmod(second, 2 * kMixSeconds);
+  const double into = std::fmod(phase, kMixSeconds);
   const double ramp = std::clamp(into / kRampSeconds, 0.0, 1.0);
-  const double answers = phase < kSwingSeconds ? 1 - ramp : ramp;
+  const double answers = phase < kMixSeconds ? 1 - ramp : ramp;
   return {.requests_per_second = 38 - 10 * answers,
           .prompt_share = 0.85 - 0.7 * answers};
 }
@@ -39,44 +39,47 @@
 }
 
 constexpr std::array kScenarios = {
-    Scenario{.name = "steady",
-             .story = "an even load, about half of what the fleet carries",
-             .rate = &Steady},
+    Scenario{
+        .name = "steady",
+        .description = "an even load, about half of what the fleet carries",
+        .rate = &Steady},
     Scenario{.name = "shift",
-             .story = "the mix alternates every three minutes",
+             .description = "the mix alternates every three minutes",
              .seconds = 900,
-             .rate = &Swinging,
+             .rate = &AlternatingMix,
              .has_shift = true},
-    Scenario{.name = "flood",
-             .story = "the smallest account sends twice what all others do",
-             .rate = &Flooded},
+    Scenario{
+        .name = "flood",
+        .description = "the smallest account sends twice what all others do",
+        .rate = &Flooded},
     Scenario{.name = "zone-lost",
-             .story = "a zone of cheap endpoints is reclaimed",
+             .description = "a zone of cheap endpoints is reclaimed",
              .rate = &Busy,
              .zone_lost = {200, 320}},
     Scenario{.name = "replace",
-             .story = "engines are replaced one by one",
+             .description = "engines are replaced one by one",
              .rate = &Busy,
              .replace = true},
     Scenario{.name = "lagging",
-             .story = "reports lag by 5 s",
+             .description = "reports lag by 5 s",
              .rate = &Busy,
              .report_lag = 5},
+    Scenario{.name = "cut-off",
+             .description =
+                 "a data centre is partitioned from the others for two minutes",
+             .rate = &Busy,
+             .partitioned = {200, 320}},
     Scenario{
-        .name = "cut-off",
-        .story = "a data centre is partitioned from the others for two minutes",
-        .rate = &Busy,
-        .cut_off = {200, 320}},
-    Scenario{.name = "platform-down",
-             .story = "no claims and no orders for an hour of alternating mix",
-             .seconds = 4200,
-             .rate = &Swinging,
-             .platform_down = {300, 3900},
-             .has_shift = true},
+        .name = "platform-down",
+        .description = "no claims and no orders for an hour of alternating mix",
+        .seconds = 4200,
+        .rate = &AlternatingMix,
+        .platform_down = {300, 3900},
+        .has_shift = true},
     Scenario{.name = "shift+zone",
-             .story = "a zone is lost in the middle of a shift",
+             .description = "a zone is lost in the middle of a shift",
              .seconds = 900,
-             .rate = &Swinging,
+             .rate = &AlternatingMix,
              .zone_lost = {190, 400},
              .has_shift = true},
 };
--- a/bench/policy_workload.cc
+++ b/bench/policy_workload.cc
@@ -50,12 +50,12 @@
 // Hashes the pieces of the shared prefix in one chain and the rest of the
 // prompt in another.
 std::vector<uint64_t> PrefixHashes(uint64_t opening,
-                                   int64_t opening_tokens,
+                                   int64_t shared_tokens,
                                    uint64_t rest,
                                    int64_t tokens) {
   std::vector<uint64_t> hashes;
   for (int64_t at = 0; at < tokens; at += kPieceTokens) {
-    const uint64_t chain = at < opening_tokens ? opening : Mix(opening, rest);
+    const uint64_t chain = at < shared_tokens ? opening : Mix(opening, rest);
     hashes.push_back(Mix(chain, static_cast<uint64_t>(at)));
   }
   return hashes;
@@ -111,13 +111,13 @@
     return arrival;
   }
 
-  int64_t Around(double mean, double spread) {
+  int64_t DrawLogNormal(double mean, double spread) {
     const double exponent = std::normal_distribution<double>(
         -spread * spread / 2, spread)(this->random);
     return std::max<int64_t>(8, std::llround(mean * std::exp(exponent)));
   }
 
-  uint64_t Opening(size_t account) {
+  uint64_t SharedPrefix(size_t account) {
     return Mix(account + 1, this->random() % kTemplates);
   }
 
@@ -133,14 +133,15 @@
   Arrival CaseFile(double time, size_t account) {
     Arrival arrival = this->Make(time, account);
     std::vector<Case>& cases = this->cases[account];
-    Case file{this->random(), this->Opening(account), this->Around(3500, 0.5)};
+    Case file{this->random(), this->SharedPrefix(account),
+              this->DrawLogNormal(3500, 0.5)};
     if (!cases.empty() && this->Chance(kFollowUps)) {
       const size_t which = this->random() % cases.size();
       file = cases[which];
-      file.tokens += this->Around(300, 0.3);
+      file.tokens += this->DrawLogNormal(300, 0.3);
       cases.erase(cases.begin() + static_cast<std::ptrdiff_t>(which));
     }
-    this->SetTokens(arrival, file.tokens, this->Around(120, 0.4));
+    this->SetTokens(arrival, file.tokens, this->DrawLogNormal(120, 0.4));
     arrival.request.prefix_hashes =
         PrefixHashes(file.opening, kTemplateTokens, file.id, file.tokens);
     cases.push_back(file);
@@ -153,10 +154,11 @@
   // A short prompt with a long answer (a draft).
   Arrival Draft(double time, size_t account) {
     Arrival arrival = this->Make(time, account);
-    this->SetTokens(arrival, this->Around(700, 0.4), this->Around(600, 0.4));
+    this->SetTokens(arrival, this->DrawLogNormal(700, 0.4),
+                    this->DrawLogNormal(600, 0.4));
     arrival.request.prefix_hashes =
-        PrefixHashes(this->Opening(account), kTemplateTokens, this->random(),
-                     arrival.request.prompt_tokens);
+        PrefixHashes(this->SharedPrefix(account), kTemplateTokens,
+                     this->random(), arrival.request.prompt_tokens);
     return arrival;
   }
 
--- a/fakes/endpoints.cmake
+++ b/fakes/endpoints.cmake
@@ -1,6 +1,6 @@
 # Stand-ins for engines and plain services, as a library for tests and benches.
 add_whole_library(fakes_endpoints
-  SOURCES fakes/engine.cc fakes/engine_batch.cc fakes/order_book.cc fakes/plain_service.cc
+  SOURCES fakes/engine.cc fakes/engine_batch.cc fakes/order_handler.cc fakes/plain_service.cc
   LIBRARIES hs_endpoints)
 target_include_directories(fakes_endpoints INTERFACE fakes)
 
--- a/fakes/engine.cc
+++ b/fakes/engine.cc
@@ -115,10 +115,10 @@
   return out.EndObject().Text();
 }
 
-std::string WholeDocument(bool chat,
-                          const std::string& id,
-                          const std::string& text,
-                          const Generation& generation) {
+std::string CompletionDocument(bool chat,
+                               const std::string& id,
+                               const std::string& text,
+                               const Generation& generation) {
   JsonWriter out;
   out.BeginObject().Member("id", id);
   out.Member("object", chat ? "chat.completion" : "text_completion");
@@ -181,7 +181,7 @@
     {"POST", "/v1/orders", &FakeEngine::TakeOrder},
     {"GET", "/v1/orders", &FakeEngine::ListOrders},
     {"GET", "/v1/health", &FakeEngine::AnswerHealth},
-    {"POST", "/admin/fault", &FakeEngine::SetFaultByCall},
+    {"POST", "/admin/fault", &FakeEngine::SetFaultFromRequest},
     {"GET", "/admin/runs", &FakeEngine::AnswerRuns},
 };
 
@@ -206,7 +206,7 @@
   });
 }
 
-void FakeEngine::SetFault(FaultOrder new_fault) {
+void FakeEngine::SetFault(FaultInjection new_fault) {
   this->task.Call([&] { this->fault = new_fault; });
 }
 
@@ -220,8 +220,8 @@
   return copy;
 }
 
-std::vector<BookedOrder> FakeEngine::Orders() {
-  std::vector<BookedOrder> copy;
+std::vector<AcceptedOrder> FakeEngine::Orders() {
+  std::vector<AcceptedOrder> copy;
   this->task.Call([&] { copy = this->orders.Orders(); });
   return copy;
 }
@@ -304,13 +304,13 @@
        .body = request.body,
        .resume_from = std::strtoll(
            HeaderOr(request, "X-Resume-From", "0").c_str(), nullptr, 10)});
-  if (!this->RefusedAtOnce(call, stream)) {
+  if (!this->RefuseByFault(call, stream)) {
     this->runs.back().ran = true;
     this->Begin(call, *body, std::move(stream));
   }
 }
 
-bool FakeEngine::RefusedAtOnce(const HttpCallPtr& call, Stream& stream) {
+bool FakeEngine::RefuseByFault(const HttpCallPtr& call, Stream& stream) {
   if (stream.fault.kind == EngineFault::kNotRun) {
     AnswerJson(call, kStatusUnavailable, ErrorDocument("not_run"));
     return true;
@@ -358,7 +358,7 @@
 
 void FakeEngine::Step() {
   for (const Generation& generation : this->batch.Step()) {
-    this->GiveToken(generation);
+    this->SendToken(generation);
   }
   // A crash of the process ends all streams. It is carried out after the loop
   // because it ends calls that the loop uses.
@@ -377,7 +377,7 @@
   }
 }
 
-void FakeEngine::GiveToken(const Generation& generation) {
+void FakeEngine::SendToken(const Generation& generation) {
   const auto found = this->streams.find(generation.key);
   if (found == this->streams.end() || found->second.silent) {
     return;
@@ -459,7 +459,7 @@
     HttpHeaders headers = EchoHeaders(call->Request());
     headers.push_back({"Content-Type", "application/json"});
     call->Answer(kStatusOk, headers,
-                 WholeDocument(stream.chat, id, stream.text, generation));
+                 CompletionDocument(stream.chat, id, stream.text, generation));
   }
   this->EndRun(key, true);
 }
@@ -505,9 +505,10 @@
   out.Member("queued_prompt_tokens", this->batch.QueuedPromptTokens());
   out.Member("running", this->batch.Running());
   out.Member("capacity", this->options.batch.capacity);
-  out.Member("prefill_rate",
-             steps_per_second * static_cast<double>(
-                                    this->options.batch.prefill_tokens_a_step));
+  out.Member(
+      "prefill_rate",
+      steps_per_second *
+          static_cast<double>(this->options.batch.prefill_tokens_per_step));
   out.Member(
       "decode_rate",
       steps_per_second * static_cast<double>(this->options.batch.capacity));
@@ -539,7 +540,7 @@
 }
 
 void FakeEngine::TakeOrder(const HttpCallPtr& call) {
-  const BookedOrder* order = this->orders.Take(call);
+  const AcceptedOrder* order = this->orders.Take(call);
   if (order == nullptr) {
     return;
   }
@@ -560,7 +561,7 @@
              JsonWriter().BeginObject().Member("status", "ok").EndObject());
 }
 
-void FakeEngine::SetFaultByCall(const HttpCallPtr& call) {
+void FakeEngine::SetFaultFromRequest(const HttpCallPtr& call) {
   const Json body = Json::ParseObject(call->Request().body).value_or(Json());
   const std::string name = body.At("kind").Text();
   const auto* row = std::ranges::find(kFaultNames, name, &FaultName::name);
--- a/fakes/engine.h
+++ b/fakes/engine.h
@@ -25,7 +25,7 @@
 #include "http/http_server.h"
 #include "kernel/json.h"
 #include "kernel/task.h"
-#include "order_book.h"
+#include "order_handler.h"
 #include "run_record.h"
 
 namespace hickorystand::fakes {
@@ -46,12 +46,12 @@
 
 // A fault to inject: into the next `times` completions, each after it has
 // generated `after_tokens` tokens.
-struct FaultOrder {
+struct FaultInjection {
   EngineFault kind = EngineFault::kNone;
   int64_t after_tokens = 0;
   int64_t times = INT64_MAX;
 
-  bool operator==(const FaultOrder&) const = default;
+  bool operator==(const FaultInjection&) const = default;
 };
 
 // Settings of an engine.
@@ -82,12 +82,12 @@
   SocketAddress Address() const { return this->address; }
 
   // Sets the fault of completions that start after this call.
-  void SetFault(FaultOrder fault);
+  void SetFault(FaultInjection fault);
   void SetLeaving(bool leaving);
 
   // All completion requests received, oldest first. Cleared at 200,000 records.
   std::vector<RunRecord> Runs();
-  std::vector<BookedOrder> Orders();
+  std::vector<AcceptedOrder> Orders();
 
   // Ends all streams if the process has not crashed already, empties the cache,
   // and listens again on the same port as a new incarnation.
@@ -102,7 +102,7 @@
     bool chat = false;
     bool streamed = false;
     bool with_usage = false;
-    FaultOrder fault;
+    FaultInjection fault;
     std::string text;  // generated so far, if the answer is not streamed
     bool silent = false;
   };
@@ -125,14 +125,14 @@
   void TakeOrder(const HttpCallPtr& call);
   void ListOrders(const HttpCallPtr& call);
   void AnswerHealth(const HttpCallPtr& call);
-  void SetFaultByCall(const HttpCallPtr& call);
+  void SetFaultFromRequest(const HttpCallPtr& call);
   void AnswerRuns(const HttpCallPtr& call);
 
-  bool RefusedAtOnce(const HttpCallPtr& call, Stream& stream);
+  bool RefuseByFault(const HttpCallPtr& call, Stream& stream);
   void Begin(const HttpCallPtr& call, const Json& body, Stream stream);
   void Step();
   void KeepAlive();
-  void GiveToken(const Generation& generation);
+  void SendToken(const Generation& generation);
   bool Strike(const std::string& key, Stream& stream, int64_t generated);
   void FinishStream(const std::string& key, const Generation& generation);
   void EndRun(const std::string& key, bool finished);
@@ -144,10 +144,10 @@
   std::unique_ptr<Timer> stepper;
   std::unique_ptr<Timer> keep_alive;
   EngineBatch batch;
-  OrderBook orders;
+  OrderHandler orders;
   std::map<std::string, Stream> streams;
   std::vector<RunRecord> runs;
-  FaultOrder fault;
+  FaultInjection fault;
   std::string role = "mixed";
   bool leaving = false;
   bool crashing = false;
--- a/fakes/engine_batch.cc
+++ b/fakes/engine_batch.cc
@@ -24,7 +24,7 @@
 
 std::vector<Generation> EngineBatch::Step() {
   this->Admit();
-  int64_t prefill = this->options.prefill_tokens_a_step;
+  int64_t prefill = this->options.prefill_tokens_per_step;
   std::vector<Generation> stepped;
   for (Generation& each : this->running) {
     if (each.prefill_left > 0) {
--- a/fakes/engine_batch.h
+++ b/fakes/engine_batch.h
@@ -17,8 +17,8 @@
 
 // Speed and size of an engine.
 struct BatchOptions {
-  int64_t capacity = 32;                // requests that run at the same time
-  int64_t prefill_tokens_a_step = 512;  // shared by all requests in prefill
+  int64_t capacity = 32;                  // requests that run at the same time
+  int64_t prefill_tokens_per_step = 512;  // shared by all requests in prefill
   int64_t cache_pieces = 4096;
 
   bool operator==(const BatchOptions&) const = default;
--- a/fakes/engine_command.cc
+++ b/fakes/engine_command.cc
@@ -11,7 +11,7 @@
                                     "prefill-per-step", "fences", "poison"});
   const BatchOptions batch{
       .capacity = options.Integer("capacity", 32),
-      .prefill_tokens_a_step = options.Integer("prefill-per-step", 512)};
+      .prefill_tokens_per_step = options.Integer("prefill-per-step", 512)};
   const FakeEngine engine({.id = options.Text("id", "engine"),
                            .listen = options.Listen(),
                            .step = Duration(options.Integer("step-us", 5000)),
--- a/fakes/key_value.cc
+++ b/fakes/key_value.cc
@@ -111,7 +111,7 @@
     this->address = *listening;
     this->expiry = Timer::Every(kExpiryPeriod, [this] {
       this->state.Expire(this->clock.Now());
-      this->FeedWatches();
+      this->SendWatchEvents();
     });
   }
 
@@ -136,7 +136,7 @@
 
   StoreReply Transact(const StoreTransaction& transaction) {
     const StoreReply reply = this->state.Transact(transaction);
-    this->FeedWatches();
+    this->SendWatchEvents();
     return reply;
   }
 
@@ -239,7 +239,7 @@
     const int64_t before = this->state.Revision();
     const std::string body = (this->*handler->second)(json, writes);
     ++(writes ? this->calls.writes : this->calls.reads);
-    this->FeedWatches();
+    this->SendWatchEvents();
     const bool took_effect =
         this->state.Revision() != before || path == "/v3/lease/grant";
     if (this->fault == KeyValueFault::kReplyLost && took_effect) {
@@ -283,7 +283,7 @@
 
   std::string Txn(const Json& json, bool& writes) {
     const StoreTransaction transaction = ReadTransaction(json);
-    writes = !OnlyReads(transaction);
+    writes = !IsReadOnly(transaction);
     const StoreReply reply = this->state.Transact(transaction);
     JsonWriter out;
     out.BeginObject();
@@ -369,11 +369,11 @@
     WriteHeader(this->state.Revision(), out);
     out.Member("created", true).EndObject().EndObject();
     call->Write(out.Text() + "\n");
-    this->FeedWatches();
+    this->SendWatchEvents();
   }
 
   // Sends each watch the changes that it has not received yet.
-  void FeedWatches() {
+  void SendWatchEvents() {
     for (auto& [call, watch] : this->watches) {
       if (watch.silent || this->fault == KeyValueFault::kSilentWatch) {
         watch.silent = true;
--- a/fakes/main.cc
+++ b/fakes/main.cc
@@ -20,7 +20,7 @@
   return table;
 }
 
-[[noreturn]] void Complain(const std::string& message) {
+[[noreturn]] void ExitWithUsageError(const std::string& message) {
   std::cerr << "fakes: " << message << "\n";
   std::exit(kUsageExitCode);
 }
@@ -53,10 +53,10 @@
     const std::string& name = arguments[i];
     if (!name.starts_with("--") ||
         std::ranges::count(known, name.substr(2)) == 0) {
-      Complain("unknown option " + name);
+      ExitWithUsageError("unknown option " + name);
     }
     if (i + 1 == arguments.size()) {
-      Complain(name + " needs a value");
+      ExitWithUsageError(name + " needs a value");
     }
     this->values.emplace_back(name.substr(2), arguments[i + 1]);
   }
@@ -77,7 +77,7 @@
 SocketAddress Options::Listen() const {
   const Result<SocketAddress> address = ParseAddress(this->Text("listen"));
   if (!address) {
-    Complain("--listen: " + address.error().message);
+    ExitWithUsageError("--listen: " + address.error().message);
   }
   return *address;
 }
--- a/fakes/order_book.cc
+++ b/fakes/order_handler.cc
@@ -1,4 +1,4 @@
-#include "order_book.h"
+#include "order_handler.h"
 
 #include <algorithm>
 
@@ -9,7 +9,7 @@
 constexpr int kStatusBadRequest = 400;
 constexpr int kStatusConflict = 409;
 
-void AnswerState(const HttpCallPtr& call, const BookedOrder& order) {
+void AnswerState(const HttpCallPtr& call, const AcceptedOrder& order) {
   AnswerJson(
       call, kStatusOk,
       JsonWriter().BeginObject().Member("state", order.state).EndObject());
@@ -33,7 +33,7 @@
   return headers;
 }
 
-const BookedOrder* OrderBook::Take(const HttpCallPtr& call) {
+const AcceptedOrder* OrderHandler::Take(const HttpCallPtr& call) {
   const Result<Json> json = Json::ParseObject(call->Request().body);
   if (!json) {
     AnswerJson(call, kStatusBadRequest,
@@ -41,7 +41,7 @@
     return nullptr;
   }
   const std::string id = json->At("id").Text();
-  const auto known = std::ranges::find(this->orders, id, &BookedOrder::id);
+  const auto known = std::ranges::find(this->orders, id, &AcceptedOrder::id);
   if (known != this->orders.end()) {
     AnswerState(call, *known);
     return nullptr;
@@ -65,11 +65,11 @@
   return &this->orders.back();
 }
 
-void OrderBook::List(const HttpCallPtr& call) const {
+void OrderHandler::List(const HttpCallPtr& call) const {
   JsonWriter out;
   out.BeginObject().Member("highest_fencing", this->highest_fencing);
   out.Name("orders").BeginArray();
-  for (const BookedOrder& order : this->orders) {
+  for (const AcceptedOrder& order : this->orders) {
     out.BeginObject().Member("id", order.id);
     out.Member("fencing", order.fencing).Member("state", order.state);
     out.EndObject();
--- a/fakes/order_book.h
+++ b/fakes/order_handler.h
@@ -13,19 +13,19 @@
 namespace hickorystand::fakes {
 
 // An accepted order.
-struct BookedOrder {
+struct AcceptedOrder {
   std::string id;
   int64_t fencing = 0;
   std::string kind;
   std::string argument;
   std::string state = "done";
 
-  bool operator==(const BookedOrder&) const = default;
+  bool operator==(const AcceptedOrder&) const = default;
 };
 
 // Handles the requests that send and list orders. Resending an order has no
 // further effect.
-class OrderBook {
+class OrderHandler {
  public:
   // Whether an order whose fencing number is below the highest accepted one is
   // refused with 409.
@@ -33,16 +33,16 @@
 
   // POST /v1/orders. Returns the order if it is accepted and new, else nullptr.
   // The pointer is valid until the next call.
-  const BookedOrder* Take(const HttpCallPtr& call);
+  const AcceptedOrder* Take(const HttpCallPtr& call);
 
   // GET /v1/orders
   void List(const HttpCallPtr& call) const;
 
-  const std::vector<BookedOrder>& Orders() const { return this->orders; }
+  const std::vector<AcceptedOrder>& Orders() const { return this->orders; }
 
  private:
   int64_t highest_fencing = 0;
-  std::vector<BookedOrder> orders;
+  std::vector<AcceptedOrder> orders;
 };
 
 // Answers with a JSON document and the headers of EchoHeaders().
--- a/fakes/plain_service.cc
+++ b/fakes/plain_service.cc
@@ -7,7 +7,7 @@
 #include <utility>
 
 #include "kernel/json.h"
-#include "order_book.h"
+#include "order_handler.h"
 
 namespace hickorystand::fakes {
 namespace {
@@ -77,7 +77,7 @@
 void FakePlainService::Handle(const HttpCallPtr& call) {
   const HttpRequest& request = call->Request();
   if (request.path == "/admin/fault") {
-    this->SetFaultByCall(call);
+    this->SetFaultFromRequest(call);
     return;
   }
   const PlainFault active_fault = this->fault;
@@ -155,7 +155,7 @@
                std::string(std::clamp<int64_t>(bytes, 0, kMaxLargeBytes), 'x'));
 }
 
-void FakePlainService::SetFaultByCall(const HttpCallPtr& call) {
+void FakePlainService::SetFaultFromRequest(const HttpCallPtr& call) {
   const Json body = Json::ParseObject(call->Request().body).value_or(Json());
   const std::string name = body.At("kind").Text();
   const auto* row = std::ranges::find(kFaultNames, name, &FaultName::name);
--- a/fakes/plain_service.h
+++ b/fakes/plain_service.h
@@ -64,7 +64,7 @@
   void Handle(const HttpCallPtr& call);
   void Answer(const HttpCallPtr& call, PlainFault active_fault);
   void AnswerLarge(const HttpCallPtr& call);
-  void SetFaultByCall(const HttpCallPtr& call);
+  void SetFaultFromRequest(const HttpCallPtr& call);
 
   PlainOptions options;
   SocketAddress address;
--- a/fakes/platform.cc
+++ b/fakes/platform.cc
@@ -85,7 +85,7 @@
   std::vector<PlatformHost> hosts;
   std::vector<PlatformOrder> orders;
   std::map<std::pair<std::string, int64_t>, PlatformReport> reports;
-  PlatformOffences offences;
+  PlatformViolations violation_counts;
   int64_t received = 0;
 
  private:
@@ -106,15 +106,16 @@
       this->ListOrders(call);
     } else if (request.method == "GET" && request.path == "/fake/offences") {
       Answer(call, SOUP_STATUS_OK,
-             "{\"offences\":" + std::to_string(this->offences.Sum()) + "}");
+             "{\"offences\":" + std::to_string(this->violation_counts.Sum()) +
+                 "}");
     } else if (request.method == "POST") {
-      this->TakeBody(call);
+      this->HandlePost(call);
     } else {
       Answer(call, SOUP_STATUS_NOT_FOUND, R"({"error":"no such path"})");
     }
   }
 
-  void TakeBody(const HttpCallPtr& call) {
+  void HandlePost(const HttpCallPtr& call) {
     const std::string& path = call->Request().path;
     const auto json = Json::ParseObject(call->Request().body);
     if (!json || (path != "/endpoint-orders" && path != "/usage-reports")) {
@@ -146,11 +147,11 @@
       // the fencing number is not compared.
       PlatformOrder same = *known;
       same.fencing = order.fencing;
-      this->offences.changed_orders += same == order ? 0 : 1;
+      this->violation_counts.conflicting_orders += same == order ? 0 : 1;
       return;
     }
     int64_t& highest = this->order_fencing[order.data_centre];
-    this->offences.deposed_orders += order.fencing < highest ? 1 : 0;
+    this->violation_counts.stale_orders += order.fencing < highest ? 1 : 0;
     highest = std::max(highest, order.fencing);
     this->orders.push_back(order);
   }
@@ -159,12 +160,12 @@
     const auto [at, fresh] =
         this->reports.try_emplace({report.data_centre, report.window}, report);
     if (!fresh) {
-      this->offences.changed_reports +=
+      this->violation_counts.conflicting_reports +=
           at->second.figures == report.figures ? 0 : 1;
       return;
     }
     int64_t& highest = this->report_fencing[report.data_centre];
-    this->offences.deposed_reports += report.fencing < highest ? 1 : 0;
+    this->violation_counts.stale_reports += report.fencing < highest ? 1 : 0;
     highest = std::max(highest, report.fencing);
   }
 
@@ -226,10 +227,10 @@
   return reports;
 }
 
-PlatformOffences FakePlatform::Offences() {
-  PlatformOffences offences;
-  this->task.Call([&] { offences = this->server->offences; });
-  return offences;
+PlatformViolations FakePlatform::Violations() {
+  PlatformViolations violation_counts;
+  this->task.Call([&] { violation_counts = this->server->violation_counts; });
+  return violation_counts;
 }
 
 int64_t FakePlatform::Received() {
--- a/fakes/platform.h
+++ b/fakes/platform.h
@@ -56,17 +56,17 @@
 };
 
 // Numbers of requests that violate the protocol.
-struct PlatformOffences {
-  int64_t changed_orders = 0;   // token reused for a different order
-  int64_t deposed_orders = 0;   // fencing number below data centre's highest
-  int64_t changed_reports = 0;  // window reported again, figures differ
-  int64_t deposed_reports = 0;  // new window, fencing number below highest
+struct PlatformViolations {
+  int64_t conflicting_orders = 0;  // token reused for a different order
+  int64_t stale_orders = 0;        // fencing number below data centre's highest
+  int64_t conflicting_reports = 0;  // window reported again, figures differ
+  int64_t stale_reports = 0;        // new window, fencing number below highest
 
   int64_t Sum() const {
-    return this->changed_orders + this->deposed_orders + this->changed_reports +
-           this->deposed_reports;
+    return this->conflicting_orders + this->stale_orders +
+           this->conflicting_reports + this->stale_reports;
   }
-  auto operator<=>(const PlatformOffences&) const = default;
+  auto operator<=>(const PlatformViolations&) const = default;
 };
 
 // The platform. It runs on its own task; public functions may be called from
@@ -91,7 +91,7 @@
   // window. Repeats are left out.
   std::vector<PlatformOrder> Orders();
   std::vector<PlatformReport> Reports();
-  PlatformOffences Offences();
+  PlatformViolations Violations();
 
   // The number of requests received, including repeats and requests that a
   // fault affected.
--- a/packages/ctl/command.h
+++ b/packages/ctl/command.h
@@ -48,8 +48,8 @@
   std::string summary;    // one line
   std::string help;       // further paragraphs of the help page
   std::vector<std::string> examples;
-  size_t least_arguments = 0;
-  size_t most_arguments = SIZE_MAX;
+  size_t min_arguments = 0;
+  size_t max_arguments = SIZE_MAX;
   std::vector<CommandOption> options;
   Result<bool> (*run)(CtlSession&, const Invocation&) = nullptr;
 };
@@ -67,7 +67,7 @@
 std::vector<Command> LimitCommands();
 
 // Returns kBadSetting if no administration address of a host is configured.
-Result<bool> NeedHosts(CtlSession& session);
+Result<bool> RequireHosts(CtlSession& session);
 
 // All commands, in the order of the help page.
 std::span<const Command> AllCommands();
--- a/packages/ctl/configuration_commands.cc
+++ b/packages/ctl/configuration_commands.cc
@@ -35,10 +35,10 @@
 // that are in no file are retained and listed in `kept`, unless `prune` is set:
 // the files may be older than records that another operator created at the
 // command line.
-Configuration Combine(const Configuration& files,
-                      const Configuration& in_force,
-                      bool prune,
-                      std::vector<std::string>& kept) {
+Configuration MergeWithInForce(const Configuration& files,
+                               const Configuration& in_force,
+                               bool prune,
+                               std::vector<std::string>& kept) {
   Configuration wanted = files;
   for (const Record& record : ListRecords(in_force)) {
     const bool key = record.kind == "key";
@@ -89,8 +89,8 @@
   std::vector<std::string> kept;
   const auto edit = [&](const Configuration& in_force) {
     kept.clear();
-    return Result<Configuration>(
-        Combine(input->configuration, in_force, invocation.Has("prune"), kept));
+    return Result<Configuration>(MergeWithInForce(
+        input->configuration, in_force, invocation.Has("prune"), kept));
   };
   auto result = session.ChangeAndWait(edit, !invocation.Has("no-wait"));
   for (const std::string& name : kept) {
@@ -110,10 +110,10 @@
     return tl::unexpected(stored.error());
   }
   std::vector<std::string> kept;
-  const auto changes =
-      DiffConfigurations(*stored->configuration,
-                         Combine(input->configuration, *stored->configuration,
-                                 invocation.Has("prune"), kept));
+  const auto changes = DiffConfigurations(
+      *stored->configuration,
+      MergeWithInForce(input->configuration, *stored->configuration,
+                       invocation.Has("prune"), kept));
   for (const RecordChange& change : changes) {
     session.Out().Line(change.Text());
   }
@@ -128,7 +128,7 @@
 }
 
 // Whether a record applies to a site.
-bool StandsAt(const Record& record, const std::string& site) {
+bool AppliesToSite(const Record& record, const std::string& site) {
   if (record.kind == "site") {
     return record.id == site;
   }
@@ -152,7 +152,8 @@
       .Name("records")
       .BeginObject();
   for (const Record& record : ListRecords(*stored->configuration)) {
-    if (record.kind == "key" || (!site.empty() && !StandsAt(record, site))) {
+    if (record.kind == "key" ||
+        (!site.empty() && !AppliesToSite(record, site))) {
       continue;
     }
     session.Out().Line("\n[" + record.kind + " " + record.id + "]");
@@ -186,7 +187,7 @@
        .help = "Reads the base file and the overlays of the sites and reports "
                "every fault with file, line and what is allowed.",
        .examples = {"hickoryctl check base.ini dc1.ini dc2.ini"},
-       .least_arguments = 1,
+       .min_arguments = 1,
        .run = &Check},
       {.name = "diff",
        .arguments = "BASE [OVERLAY...]",
@@ -194,7 +195,7 @@
        .help = "Compares the files with the configuration in the key-value "
                "service.",
        .examples = {"hickoryctl diff base.ini dc1.ini dc2.ini"},
-       .least_arguments = 1,
+       .min_arguments = 1,
        .options = prune,
        .run = &Diff},
       {.name = "apply",
@@ -206,7 +207,7 @@
                "what. Keys of accounts are left as they are.",
        .examples = {"hickoryctl apply base.ini dc1.ini dc2.ini",
                     "hickoryctl apply base.ini dc1.ini --prune --no-wait"},
-       .least_arguments = 1,
+       .min_arguments = 1,
        .options = apply,
        .run = &Apply},
       {.name = "show",
@@ -215,7 +216,7 @@
        .help = "Prints every record with all its fields, without keys. With "
                "--site only the records that apply to that site.",
        .examples = {"hickoryctl show --site dc1"},
-       .most_arguments = 0,
+       .max_arguments = 0,
        .options = {{"site", "only records that apply to this site", true}},
        .run = &Show},
       {.name = "schema",
@@ -223,7 +224,7 @@
        .summary = "Print the page of all sections and keys.",
        .help = "Writes docs/CONFIGURATION.md.",
        .examples = {"hickoryctl schema > docs/CONFIGURATION.md"},
-       .most_arguments = 0,
+       .max_arguments = 0,
        .run = &Schema},
   };
 }
--- a/packages/ctl/configuration_files.cc
+++ b/packages/ctl/configuration_files.cc
@@ -79,7 +79,7 @@
     const std::vector<IniSection> sections = ReadIni(file.text, faults);
     std::string site;
     if (overlay) {
-      site = this->SiteOf(sections, faults);
+      site = this->FindOverlaySite(sections, faults);
       if (site.empty()) {
         return;
       }
@@ -91,8 +91,8 @@
 
   // The site that an overlay is for. If it names none, adds a fault and returns
   // an empty string.
-  std::string SiteOf(const std::vector<IniSection>& sections,
-                     IniFaults& faults) {
+  std::string FindOverlaySite(const std::vector<IniSection>& sections,
+                              IniFaults& faults) {
     std::string site;
     for (const IniSection& section : sections) {
       const Heading heading = ReadHeading(section.name);
@@ -174,7 +174,7 @@
         continue;
       }
       if (!site.empty()) {
-        this->CompareWithBase(heading, schema, known, entry,
+        this->WarnIfRedundant(heading, schema, known, entry,
                               faults.File() + ":" + std::to_string(entry.line) +
                                   ": " + title + entry.key + ": ");
       }
@@ -182,14 +182,14 @@
       this->places[name][entry.key] = Place{&faults, entry.line, section.name};
     }
     if (!site.empty() && heading.kind == "endpoint") {
-      this->PlaceAtSite(section, fields, site, faults);
+      this->SetEndpointSite(section, fields, site, faults);
     }
   }
 
   // Adds a warning if an overlay sets a field to the value that the site would
   // have without it: such an entry masks later changes of the base file at this
   // site.
-  void CompareWithBase(const Heading& heading,
+  void WarnIfRedundant(const Heading& heading,
                        const RecordSchema& schema,
                        bool known,
                        const IniEntry& entry,
@@ -209,10 +209,10 @@
     }
   }
 
-  void PlaceAtSite(const IniSection& section,
-                   Fields& fields,
-                   const std::string& site,
-                   IniFaults& faults) {
+  void SetEndpointSite(const IniSection& section,
+                       Fields& fields,
+                       const std::string& site,
+                       IniFaults& faults) {
     const auto [at, fresh] = fields.try_emplace("data_centre", site);
     if (!fresh && at->second != site) {
       faults.Add(section.line, "[" + section.name +
--- a/packages/ctl/ctl.cc
+++ b/packages/ctl/ctl.cc
@@ -199,7 +199,7 @@
 
 // Finds the command named by the first two words or the first word, and removes
 // its name from `words`. Null if there is no such command.
-const Command* TakeCommand(std::vector<std::string>& words) {
+const Command* ExtractCommand(std::vector<std::string>& words) {
   for (const size_t length : {size_t{2}, size_t{1}}) {
     if (words.size() < length) {
       continue;
@@ -263,8 +263,9 @@
 }
 
 // The first option given that this command doesn't accept.
-std::optional<std::string> StrangeOption(const Command& command,
-                                         const cxxopts::ParseResult& parsed) {
+std::optional<std::string> FindUnsupportedOption(
+    const Command& command,
+    const cxxopts::ParseResult& parsed) {
   for (const auto& given : parsed.arguments()) {
     const auto contains = [&](const auto& options) {
       return std::ranges::find(options, given.key(), &CommandOption::name) !=
@@ -284,9 +285,9 @@
                std::ostream& error) {
   const bool json = invocation.Has("json");
   const size_t count = invocation.arguments.size();
-  const auto unsupported = StrangeOption(command, *invocation.options);
-  if (unsupported || count < command.least_arguments ||
-      count > command.most_arguments) {
+  const auto unsupported = FindUnsupportedOption(command, *invocation.options);
+  if (unsupported || count < command.min_arguments ||
+      count > command.max_arguments) {
     return Report({ErrorKind::kBadRequest,
                    (unsupported ? "'" + command.name + "' takes no option --" +
                                       *unsupported
@@ -322,7 +323,7 @@
     return 0;
   }
   const std::string first = words.empty() ? "" : words.front();
-  const Command* command = TakeCommand(words);
+  const Command* command = ExtractCommand(words);
   if (command == nullptr) {
     if (first.empty() || invocation.Has("help")) {
       WriteHelp(out);
--- a/packages/ctl/fleet_commands.cc
+++ b/packages/ctl/fleet_commands.cc
@@ -19,7 +19,7 @@
 namespace hickorystand {
 namespace {
 
-constexpr Duration kRefresh = std::chrono::seconds(1);
+constexpr Duration kRefreshInterval = std::chrono::seconds(1);
 
 // The combined status of the hosts of one data centre.
 struct DataCentreView {
@@ -139,7 +139,7 @@
 }
 
 Result<bool> Status(CtlSession& session, const Invocation& invocation) {
-  if (const auto hosts = NeedHosts(session); !hosts) {
+  if (const auto hosts = RequireHosts(session); !hosts) {
     return hosts;
   }
   const bool watch = invocation.Has("watch");
@@ -156,12 +156,12 @@
                  ? Fail(ErrorKind::kTimeout, "no host can be reached")
                  : Result<bool>(true);
     }
-    std::this_thread::sleep_for(kRefresh);
+    std::this_thread::sleep_for(kRefreshInterval);
   }
 }
 
 Result<bool> Drain(CtlSession& session, const Invocation& invocation) {
-  if (const auto hosts = NeedHosts(session); !hosts) {
+  if (const auto hosts = RequireHosts(session); !hosts) {
     return hosts;
   }
   const std::string& name = invocation.arguments.front();
@@ -213,7 +213,7 @@
     if (equals < text.find('/')) {
       return {.host = text.substr(0, equals), .path = text.substr(equals + 1)};
     }
-    return {.host = HostOfLog(text), .path = text};
+    return {.host = HostFromLogPath(text), .path = text};
   }
 };
 
@@ -251,7 +251,7 @@
     }
   }
   trace.Finish();
-  for (const ForeignLines& foreign : trace.Foreign()) {
+  for (const SkippedLines& foreign : trace.Skipped()) {
     session.Out().Notice(foreign.input + ": skipped " +
                          std::to_string(foreign.count) +
                          " lines that aren't of a relay host, the first is " +
@@ -272,7 +272,7 @@
     return WhyByLogs(session, arguments.front(),
                      std::span(arguments).subspan(1));
   }
-  if (const auto hosts = NeedHosts(session); !hosts) {
+  if (const auto hosts = RequireHosts(session); !hosts) {
     return hosts;
   }
   const std::string& request = arguments.front();
@@ -323,7 +323,7 @@
 
 }  // namespace
 
-Result<bool> NeedHosts(CtlSession& session) {
+Result<bool> RequireHosts(CtlSession& session) {
   if (!session.Admin().HasHosts()) {
     return Fail(
         ErrorKind::kBadSetting,
@@ -343,7 +343,7 @@
            "Asks every host. A host that is BEHIND does not have the newest "
            "revision yet; one that is UNREACHABLE did not answer.",
        .examples = {"hickoryctl status", "hickoryctl status --watch"},
-       .most_arguments = 0,
+       .max_arguments = 0,
        .options = {{"watch", "refresh in place until interrupted"}},
        .run = &Status},
       {.name = "drain",
@@ -353,8 +353,8 @@
            "The host accepts no new request, finishes what runs, hands over "
            "its state and releases its lease.",
        .examples = {"hickoryctl drain dc1-host2"},
-       .least_arguments = 1,
-       .most_arguments = 1,
+       .min_arguments = 1,
+       .max_arguments = 1,
        .run = &Drain},
       {.name = "why",
        .arguments = "REQUEST-ID [LOG...]",
@@ -374,7 +374,7 @@
                     "hickoryctl why 72adbe3f3c42dcf2 logs/*.log",
                     "grep 72adbe3f3c42dcf2 *.log | hickoryctl why "
                     "72adbe3f3c42dcf2 -"},
-       .least_arguments = 1,
+       .min_arguments = 1,
        .run = &Why},
   };
 }
--- a/packages/ctl/limit_commands.cc
+++ b/packages/ctl/limit_commands.cc
@@ -15,15 +15,15 @@
 
 // One host's status of the account's limit. `limit` is absent if the host has
 // none in force for the account.
-struct HostUse {
+struct HostUsage {
   const FleetHost* host = nullptr;
   Json limits;
   Json limit;
 };
 
-std::vector<HostUse> UsesOf(const FleetStatus& fleet,
-                            const std::string& account) {
-  std::vector<HostUse> uses;
+std::vector<HostUsage> CollectUsage(const FleetStatus& fleet,
+                                    const std::string& account) {
+  std::vector<HostUsage> uses;
   for (const FleetHost& host : fleet.hosts) {
     const Json limits = host.whole.At("limits");
     const std::vector<Json> known = limits.At("accounts").Items();
@@ -38,9 +38,9 @@
 
 // The entry with the newest configuration among the hosts that have a limit in
 // force; null if there is none.
-const HostUse* Newest(const std::vector<HostUse>& uses) {
-  const HostUse* newest = nullptr;
-  for (const HostUse& use : uses) {
+const HostUsage* NewestUsage(const std::vector<HostUsage>& uses) {
+  const HostUsage* newest = nullptr;
+  for (const HostUsage& use : uses) {
     if (use.limit.Exists() &&
         (newest == nullptr || use.host->revision > newest->host->revision)) {
       newest = &use;
@@ -49,9 +49,9 @@
   return newest;
 }
 
-int64_t Sum(const std::vector<HostUse>& uses, std::string_view member) {
+int64_t Sum(const std::vector<HostUsage>& uses, std::string_view member) {
   int64_t sum = 0;
-  for (const HostUse& use : uses) {
+  for (const HostUsage& use : uses) {
     sum += use.limit.At(member).Integer();
   }
   return sum;
@@ -71,15 +71,15 @@
   return out.str();
 }
 
-std::string UseText(const std::string& account,
-                    const std::vector<HostUse>& uses) {
-  const HostUse& newest = *Newest(uses);
+std::string UsageText(const std::string& account,
+                      const std::vector<HostUsage>& uses) {
+  const HostUsage& newest = *NewestUsage(uses);
   std::ostringstream out;
   out.precision(std::numeric_limits<double>::digits10);
   out << account << ": " << newest.limit.At("rate").Number() << " "
       << newest.limit.At("unit").Text() << " a second, burst "
       << newest.limit.At("burst").Number() << ", over all hosts\n";
-  for (const HostUse& use : uses) {
+  for (const HostUsage& use : uses) {
     out << "  " << use.host->data_centre << " " << use.host->host << ": ";
     if (!use.limit.Exists()) {
       out << "no limit in force at revision " << use.host->revision << "\n";
@@ -95,10 +95,10 @@
   return out.str();
 }
 
-JsonWriter UseDocument(const std::string& account,
-                       const FleetStatus& fleet,
-                       const std::vector<HostUse>& uses) {
-  const HostUse& newest = *Newest(uses);
+JsonWriter UsageDocument(const std::string& account,
+                         const FleetStatus& fleet,
+                         const std::vector<HostUsage>& uses) {
+  const HostUsage& newest = *NewestUsage(uses);
   JsonWriter out;
   out.BeginObject()
       .Member("account", account)
@@ -109,7 +109,7 @@
       .Member("left", Sum(uses, "left"))
       .Name("hosts")
       .BeginArray();
-  for (const HostUse& use : uses) {
+  for (const HostUsage& use : uses) {
     out.BeginObject()
         .Member("host", use.host->host.Text())
         .Member("data_centre", use.host->data_centre.Text())
@@ -134,25 +134,25 @@
   return out;
 }
 
-Result<bool> Use(CtlSession& session, const Invocation& invocation) {
-  if (const auto hosts = NeedHosts(session); !hosts) {
+Result<bool> AccountUse(CtlSession& session, const Invocation& invocation) {
+  if (const auto hosts = RequireHosts(session); !hosts) {
     return hosts;
   }
   const std::string& account = invocation.arguments.front();
   const FleetStatus fleet = session.Admin().Status();
-  const std::vector<HostUse> uses = UsesOf(fleet, account);
+  const std::vector<HostUsage> uses = CollectUsage(fleet, account);
   for (size_t i = 0; i < fleet.unreachable.size(); ++i) {
     session.Out().Notice("not asked: " + AddressText(fleet.unreachable[i]) +
                          ": " + fleet.reasons[i]);
   }
-  if (Newest(uses) == nullptr) {
+  if (NewestUsage(uses) == nullptr) {
     return Fail(
         fleet.unreachable.empty() ? ErrorKind::kNotFound : ErrorKind::kTimeout,
         "no host that answered has a limit of account '" + account +
             "' in force");
   }
-  session.Out().Line(UseText(account, uses));
-  session.Out().Document(UseDocument(account, fleet, uses));
+  session.Out().Line(UsageText(account, uses));
+  session.Out().Document(UsageDocument(account, fleet, uses));
   return true;
 }
 
@@ -169,9 +169,9 @@
                "without a share admits only what other hosts grant it.",
        .examples = {"hickoryctl account use acme",
                     "hickoryctl account use acme --json"},
-       .least_arguments = 1,
-       .most_arguments = 1,
-       .run = &Use},
+       .min_arguments = 1,
+       .max_arguments = 1,
+       .run = &AccountUse},
   };
 }
 
--- a/packages/ctl/record_commands.cc
+++ b/packages/ctl/record_commands.cc
@@ -15,10 +15,10 @@
 
 constexpr int kKeyBytes = 32;
 // Characters of a key's hash that lists show; enough to tell keys apart.
-constexpr size_t kShownHash = 12;
+constexpr size_t kDisplayedHashLength = 12;
 
 // Characters that a hash prefix given as an argument must have at least.
-constexpr size_t kLeastPrefix = 8;
+constexpr size_t kMinHashPrefixLength = 8;
 
 // Parses FIELD=VALUE arguments into a record.
 Result<bool> ReadFields(const std::vector<std::string>& arguments,
@@ -178,7 +178,7 @@
   }
   session.Out().Line(key);
   session.Out().Notice("This is the only time that the key is shown. It is " +
-                       hash.substr(0, kShownHash) +
+                       hash.substr(0, kDisplayedHashLength) +
                        " in lists, and in force within seconds.");
   session.Out().Document(JsonWriter()
                              .BeginObject()
@@ -202,7 +202,7 @@
         key.account.Text() != invocation.arguments.front()) {
       continue;
     }
-    session.Out().Line(hash.substr(0, kShownHash) +
+    session.Out().Line(hash.substr(0, kDisplayedHashLength) +
                        "  account=" + key.account.Text());
     out.BeginObject()
         .Member("hash", hash)
@@ -217,9 +217,9 @@
 // prefix is too short or ambiguous, kNotFound if no key has it.
 Result<std::string> FindKey(const Configuration& configuration,
                             const std::string& start) {
-  if (start.size() < kLeastPrefix) {
+  if (start.size() < kMinHashPrefixLength) {
     return Fail(ErrorKind::kBadRequest,
-                "give at least " + std::to_string(kLeastPrefix) +
+                "give at least " + std::to_string(kMinHashPrefixLength) +
                     " characters of the hash that 'key list' shows");
   }
   std::string found;
@@ -254,13 +254,13 @@
       !invocation.Has("no-wait"));
 }
 
-const std::vector<CommandOption> kNoWait = {
+const std::vector<CommandOption> kNoWaitOptions = {
     {"no-wait", "don't wait until it is in force"}};
 
 template <const char* kind>
-void AddKind(std::vector<Command>& commands,
-             const std::string& what,
-             const std::string& example) {
+void AddKindCommands(std::vector<Command>& commands,
+                     const std::string& what,
+                     const std::string& example) {
   const std::string name = kind;
   commands.push_back(
       {.name = name + " add",
@@ -269,15 +269,15 @@
        .help = "Fields that you don't name keep their value, or get their "
                "default. 'hickoryctl schema' prints all of them.",
        .examples = {"hickoryctl " + name + " add " + example},
-       .least_arguments = 1,
-       .options = kNoWait,
+       .min_arguments = 1,
+       .options = kNoWaitOptions,
        .run = &Of<kind, &Add>});
   commands.push_back({.name = name + " list",
                       .arguments = "",
                       .summary = "List all of them.",
                       .help = "Prints one a line, with its fields.",
                       .examples = {"hickoryctl " + name + " list --json"},
-                      .most_arguments = 0,
+                      .max_arguments = 0,
                       .run = &Of<kind, &List>});
   commands.push_back(
       {.name = name + " remove",
@@ -287,9 +287,9 @@
                "account, which go with it.",
        .examples = {"hickoryctl " + name + " remove " +
                     example.substr(0, example.find(' '))},
-       .least_arguments = 1,
-       .most_arguments = 1,
-       .options = kNoWait,
+       .min_arguments = 1,
+       .max_arguments = 1,
+       .options = kNoWaitOptions,
        .run = &Of<kind, &Remove>});
 }
 
@@ -297,24 +297,25 @@
 
 std::vector<Command> RecordCommands() {
   std::vector<Command> commands;
-  AddKind<kAccount>(commands, "a client account", "acme weight=2");
-  AddKind<kService>(commands, "a service", "filing kind=plain floor=2");
-  AddKind<kSite>(commands, "a data centre", "dc3 cut_off_key_limit=12h");
+  AddKindCommands<kAccount>(commands, "a client account", "acme weight=2");
+  AddKindCommands<kService>(commands, "a service", "filing kind=plain floor=2");
+  AddKindCommands<kSite>(commands, "a data centre",
+                         "dc3 cut_off_key_limit=12h");
   commands.push_back(
       {.name = "key add",
        .arguments = "ACCOUNT",
        .summary = "Make a key for an account and print it once.",
        .help = "Only the key's SHA-256 is stored, so it can't be shown again.",
        .examples = {"hickoryctl key add acme"},
-       .least_arguments = 1,
-       .most_arguments = 1,
+       .min_arguments = 1,
+       .max_arguments = 1,
        .run = &KeyAdd});
   commands.push_back({.name = "key list",
                       .arguments = "[ACCOUNT]",
                       .summary = "List keys by the start of their hash.",
                       .help = "Keys themselves are not known to the system.",
                       .examples = {"hickoryctl key list acme"},
-                      .most_arguments = 1,
+                      .max_arguments = 1,
                       .run = &KeyList});
   commands.push_back(
       {.name = "key withdraw",
@@ -327,9 +328,9 @@
            "for their site's cut_off_key_limit at most. Requests that run "
            "already finish.",
        .examples = {"hickoryctl key withdraw 3f9a02c41b7d"},
-       .least_arguments = 1,
-       .most_arguments = 1,
-       .options = kNoWait,
+       .min_arguments = 1,
+       .max_arguments = 1,
+       .options = kNoWaitOptions,
        .run = &KeyWithdraw});
   return commands;
 }
--- a/packages/ctl/request_trace.cc
+++ b/packages/ctl/request_trace.cc
@@ -22,7 +22,7 @@
 // is replaced by a field and {host} by the line's host. Text in brackets is
 // omitted if one of its fields is missing or empty. `stays_at` describes where
 // the request is until its next line.
-struct LineRow {
+struct LineTemplate {
   std::string_view part;
   std::string_view message;
   LineKind kind;
@@ -30,69 +30,77 @@
   std::string_view stays_at;
 };
 
-constexpr std::string_view kForwarderInputs =
+constexpr std::string_view kIngressFieldsTemplate =
     "[; {ms} ms after it arrived][; schedulers tried: {sends}][; newest "
     "configuration known here: {configuration}][; this host had been stopping "
     "for {stopping_ms} ms]";
 
-constexpr std::array kLines = {
-    LineRow{kIngressPart, "Forwarded.", LineKind::kForwarded,
-            "forwarded to scheduler {scheduler}",
-            "between {host} and scheduler {scheduler}"},
-    LineRow{kIngressPart, "Declined by the scheduler.", LineKind::kOther,
-            "declined by scheduler {scheduler}, which hasn't run it", ""},
-    LineRow{kIngressPart, "Scheduler lost.", LineKind::kOther,
-            "the link to scheduler {scheduler} ended while it had the request",
-            ""},
-    LineRow{kIngressPart, "Caller gone.", LineKind::kIngressEnd,
-            "ended here: the caller closed its connection", ""},
-    LineRow{kIngressPart, "no scheduler", LineKind::kIngressEnd,
-            "ended here: no linked scheduler could take it", ""},
-    LineRow{kIngressPart, "this host stops", LineKind::kIngressEnd,
-            "ended here: this host stops", ""},
-    LineRow{kIngressPart, "no answer from the scheduler", LineKind::kIngressEnd,
-            "ended here: scheduler {scheduler} had not answered in time", ""},
-    LineRow{kIngressPart, "scheduler lost", LineKind::kIngressEnd,
-            "ended here: scheduler {scheduler} was lost in the middle of the "
-            "answer",
-            ""},
-    LineRow{kIngressPart, "Unfinished at the end of the process.",
-            LineKind::kIngressEnd,
-            "unfinished when this host's process ended; scheduler {scheduler} "
-            "had it",
-            ""},
-    LineRow{kSchedulerPart, "Sent.", LineKind::kSent,
-            "sent to endpoint {endpoint} (step: {step})[; prompt tokens to "
-            "read: {new_tokens}][, to copy: {copied_tokens}][; first byte "
-            "expected after {expected_ms} ms][; {left_ms} ms left][; "
-            "configuration {configuration}][, proven {proof_ms} ms before]",
-            "at endpoint {endpoint}"},
-    LineRow{kSchedulerPart, "Attempt failed.", LineKind::kOther,
-            "endpoint {endpoint} failed: {why} (status {status}; 0 is none)",
-            "at scheduler {host}"},
-    LineRow{kSchedulerPart, "Prompt not read.", LineKind::kOther,
-            "endpoint {endpoint} didn't read the prompt: {why} (status "
-            "{status}; 0 is none)",
-            "at scheduler {host}"},
-    LineRow{kSchedulerPart, "Dropped an answer to another request.",
-            LineKind::kOther,
-            "dropped an answer of endpoint {endpoint} to another request", ""},
-    LineRow{kSchedulerPart, "Over the account's limit.", LineKind::kOther,
-            "over the limit of account {account}: {why}; it counts as "
-            "{tokens}, {held} held here[; home {home}]; share {share}[, "
-            "confirmed {share_ms} ms before][, of record {holders_revision}]; "
-            "configuration {configuration}; may come back after "
-            "{retry_after_ms} ms",
-            ""},
-    LineRow{kSchedulerPart, "Answered.", LineKind::kAnswered,
-            "ended with \"{outcome}\" after {ms} ms[; route {route}][; account "
-            "{account}][; forwarded by {forwarded_by}][; sends: {sends}][; "
-            "configuration {configuration}][, proven "
-            "{proof_ms} ms before][; this host had been stopping for "
-            "{stopping_ms} ms][; first event after {first_ms} ms][, longest "
-            "pause {pause_ms} ms]",
-            ""},
-    LineRow{
+constexpr std::array kLineTemplates = {
+    LineTemplate{kIngressPart, "Forwarded.", LineKind::kForwarded,
+                 "forwarded to scheduler {scheduler}",
+                 "between {host} and scheduler {scheduler}"},
+    LineTemplate{kIngressPart, "Declined by the scheduler.", LineKind::kOther,
+                 "declined by scheduler {scheduler}, which hasn't run it", ""},
+    LineTemplate{
+        kIngressPart, "Scheduler lost.", LineKind::kOther,
+        "the link to scheduler {scheduler} ended while it had the request", ""},
+    LineTemplate{kIngressPart, "Caller gone.", LineKind::kIngressEnd,
+                 "ended here: the caller closed its connection", ""},
+    LineTemplate{kIngressPart, "no scheduler", LineKind::kIngressEnd,
+                 "ended here: no linked scheduler could take it", ""},
+    LineTemplate{kIngressPart, "this host stops", LineKind::kIngressEnd,
+                 "ended here: this host stops", ""},
+    LineTemplate{
+        kIngressPart, "no answer from the scheduler", LineKind::kIngressEnd,
+        "ended here: scheduler {scheduler} had not answered in time", ""},
+    LineTemplate{
+        kIngressPart, "scheduler lost", LineKind::kIngressEnd,
+        "ended here: scheduler {scheduler} was lost in the middle of the "
+        "answer",
+        ""},
+    LineTemplate{
+        kIngressPart, "Unfinished at the end of the process.",
+        LineKind::kIngressEnd,
+        "unfinished when this host's process ended; scheduler {scheduler} "
+        "had it",
+        ""},
+    LineTemplate{
+        kSchedulerPart, "Sent.", LineKind::kSent,
+        "sent to endpoint {endpoint} (step: {step})[; prompt tokens to "
+        "read: {new_tokens}][, to copy: {copied_tokens}][; first byte "
+        "expected after {expected_ms} ms][; {left_ms} ms left][; "
+        "configuration {configuration}][, proven {proof_ms} ms before]",
+        "at endpoint {endpoint}"},
+    LineTemplate{
+        kSchedulerPart, "Attempt failed.", LineKind::kOther,
+        "endpoint {endpoint} failed: {why} (status {status}; 0 is none)",
+        "at scheduler {host}"},
+    LineTemplate{kSchedulerPart, "Prompt not read.", LineKind::kOther,
+                 "endpoint {endpoint} didn't read the prompt: {why} (status "
+                 "{status}; 0 is none)",
+                 "at scheduler {host}"},
+    LineTemplate{kSchedulerPart, "Dropped an answer to another request.",
+                 LineKind::kOther,
+                 "dropped an answer of endpoint {endpoint} to another request",
+                 ""},
+    LineTemplate{
+        kSchedulerPart, "Over the account's limit.", LineKind::kOther,
+        "over the limit of account {account}: {why}; it counts as "
+        "{tokens}, {held} held here[; home {home}]; share {share}[, "
+        "confirmed {share_ms} ms before][, of record {holders_revision}]; "
+        "configuration {configuration}; may come back after "
+        "{retry_after_ms} ms",
+        ""},
+    LineTemplate{
+        kSchedulerPart, "Answered.", LineKind::kAnswered,
+        "ended with \"{outcome}\" after {ms} ms[; route {route}][; account "
+        "{account}][; forwarded by {forwarded_by}][; sends: {sends}][; "
+        "configuration {configuration}][, proven "
+        "{proof_ms} ms before][; this host had been stopping for "
+        "{stopping_ms} ms][; first event after {first_ms} ms][, longest "
+        "pause {pause_ms} ms]",
+        ""},
+    LineTemplate{
         kSchedulerPart, "Unfinished at the end of the process.",
         LineKind::kAnswered,
         "unfinished after {ms} ms when this host's process ended[; endpoint "
@@ -101,23 +109,24 @@
         ""},
 };
 
-const LineRow* FindRow(const LogEntry& entry) {
-  const auto* row = std::ranges::find_if(kLines, [&entry](const LineRow& one) {
-    return one.part == entry.part && one.message == entry.message;
-  });
-  return row == kLines.end() ? nullptr : row;
+const LineTemplate* FindLineTemplate(const LogEntry& entry) {
+  const auto* row =
+      std::ranges::find_if(kLineTemplates, [&entry](const LineTemplate& one) {
+        return one.part == entry.part && one.message == entry.message;
+      });
+  return row == kLineTemplates.end() ? nullptr : row;
 }
 
 LineKind KindOf(const LogEntry& entry) {
-  const LineRow* row = FindRow(entry);
+  const LineTemplate* row = FindLineTemplate(entry);
   return row == nullptr ? LineKind::kOther : row->kind;
 }
 
 // Expands a template without brackets. Sets `missing` if a field is missing or
 // empty.
-std::string FillIn(std::string_view text,
-                   const LogEntry& entry,
-                   bool& missing) {
+std::string ExpandTemplate(std::string_view text,
+                           const LogEntry& entry,
+                           bool& missing) {
   std::string out;
   while (!text.empty()) {
     const size_t open = std::min(text.find('{'), text.size());
@@ -136,13 +145,14 @@
   return out;
 }
 
-std::string FillIn(std::string_view text, const LogEntry& entry) {
+std::string ExpandTemplate(std::string_view text, const LogEntry& entry) {
   std::string out;
   bool optional = false;
   while (!text.empty()) {
     const size_t end = std::min(text.find_first_of("[]"), text.size());
     bool missing = false;
-    const std::string part = FillIn(text.substr(0, end), entry, missing);
+    const std::string part =
+        ExpandTemplate(text.substr(0, end), entry, missing);
     out += optional && missing ? "" : part;
     optional = end < text.size() && text[end] == '[';
     text.remove_prefix(std::min(end + 1, text.size()));
@@ -195,7 +205,7 @@
 
 // Reads a line and keeps its first `most` bytes. Returns false at the end of
 // the stream.
-bool ReadBounded(std::istream& in, size_t most, std::string& line) {
+bool ReadBoundedLine(std::istream& in, size_t most, std::string& line) {
   line.clear();
   std::streambuf* bytes = in.rdbuf();
   constexpr int kEnd = std::char_traits<char>::eof();
@@ -219,7 +229,7 @@
 
 // Rank of a line among those of the same millisecond: the first forward of an
 // ingress host, then lines of other parts, then other lines of ingress hosts.
-int OrderWithin(const LogEntry& entry) {
+int TieBreakRank(const LogEntry& entry) {
   if (KindOf(entry) == LineKind::kForwarded && entry.At("sends") == "1") {
     return 0;
   }
@@ -245,7 +255,7 @@
                                         : "host";
 }
 
-std::string HostOfLog(std::string_view path) {
+std::string HostFromLogPath(std::string_view path) {
   constexpr std::string_view kEnding = ".log";
   path = path.substr(path.rfind('/') + 1);
   if (path.ends_with(kEnding)) {
@@ -255,10 +265,10 @@
 }
 
 std::string Explain(const LogEntry& entry) {
-  if (const LineRow* row = FindRow(entry)) {
-    std::string text = FillIn(row->text, entry);
+  if (const LineTemplate* row = FindLineTemplate(entry)) {
+    std::string text = ExpandTemplate(row->text, entry);
     if (entry.part == kIngressPart) {
-      text += FillIn(kForwarderInputs, entry);
+      text += ExpandTemplate(kIngressFieldsTemplate, entry);
     }
     return text;
   }
@@ -273,9 +283,9 @@
 
 bool RequestTrace::Read(const std::string& host, std::istream& in) {
   std::string line;
-  ForeignLines skipped{.input = host};
+  SkippedLines skipped{.input = host};
   bool any_recognised = false;
-  for (int64_t number = 1; ReadBounded(in, kLongestLine, line); ++number) {
+  for (int64_t number = 1; ReadBoundedLine(in, kMaxLineBytes, line); ++number) {
     const bool recognised = this->ReadLine(host, line);
     any_recognised = any_recognised || recognised;
     if (!recognised && !line.empty()) {
@@ -301,15 +311,15 @@
   }
   std::string_view prefix = line.substr(0, begin);
   prefix = prefix.substr(0, prefix.find_last_not_of(" \t:") + 1);
-  auto entry =
-      ParseEntry(prefix.empty() ? host : HostOfLog(prefix), line.substr(begin));
+  auto entry = ParseEntry(prefix.empty() ? host : HostFromLogPath(prefix),
+                          line.substr(begin));
   if (!entry) {
     return false;
   }
   if (entry->At("request") != this->request) {
     return true;
   }
-  if (this->entries.size() < kMostEntries) {
+  if (this->entries.size() < kMaxEntries) {
     entry->place = this->entries.size();
     this->entries.push_back(std::move(*entry));
   } else {
@@ -320,7 +330,7 @@
 
 void RequestTrace::Finish() {
   std::ranges::sort(this->entries, {}, [](const LogEntry& entry) {
-    return std::tuple(entry.unix_ms, OrderWithin(entry), entry.place);
+    return std::tuple(entry.unix_ms, TieBreakRank(entry), entry.place);
   });
 }
 
@@ -390,14 +400,14 @@
   return text + ".";
 }
 
-std::vector<std::pair<std::string, int64_t>> RequestTrace::Stays() const {
+std::vector<std::pair<std::string, int64_t>> RequestTrace::TimeByPlace() const {
   std::vector<std::pair<std::string, int64_t>> stays;
   for (size_t i = 0; i + 1 < this->entries.size(); ++i) {
     const LogEntry& entry = this->entries[i];
-    const LineRow* row = FindRow(entry);
+    const LineTemplate* row = FindLineTemplate(entry);
     const int64_t length = this->entries[i + 1].unix_ms - entry.unix_ms;
     if (row != nullptr && !row->stays_at.empty() && length > 0) {
-      stays.emplace_back(FillIn(row->stays_at, entry), length);
+      stays.emplace_back(ExpandTemplate(row->stays_at, entry), length);
     }
   }
   return stays;
@@ -439,7 +449,7 @@
         << "\n";
   }
   out << "\nOutcome: " << this->Outcome() << "\n";
-  for (const auto& [place, length] : this->Stays()) {
+  for (const auto& [place, length] : this->TimeByPlace()) {
     out << "Spent " << length << " ms " << place << "\n";
   }
   for (const std::string& host : this->MissingHosts()) {
@@ -471,7 +481,7 @@
     out.EndObject().EndObject();
   }
   out.EndArray().Member("outcome", this->Outcome()).Name("stays").BeginArray();
-  for (const auto& [place, length] : this->Stays()) {
+  for (const auto& [place, length] : this->TimeByPlace()) {
     out.BeginObject().Member("where", place).Member("ms", length).EndObject();
   }
   out.EndArray().Name("missing_hosts").BeginArray();
--- a/packages/ctl/request_trace.h
+++ b/packages/ctl/request_trace.h
@@ -44,12 +44,12 @@
 };
 
 // Counts the lines of an input that are not log lines of a relay host.
-struct ForeignLines {
+struct SkippedLines {
   std::string input;
   int64_t count = 0;
   int64_t first = 0;  // line number of the first, from 1
 
-  bool operator==(const ForeignLines&) const = default;
+  bool operator==(const SkippedLines&) const = default;
 };
 
 // Collects the log lines of one request and derives its outcome. Times are in
@@ -58,8 +58,8 @@
  public:
   // Number of lines that are kept, and bytes of a line that are read. They
   // bound the memory that inputs of any size take.
-  static constexpr size_t kMostEntries = 1000;
-  static constexpr size_t kLongestLine = size_t{16} << 10;
+  static constexpr size_t kMaxEntries = 1000;
+  static constexpr size_t kMaxLineBytes = size_t{16} << 10;
 
   explicit RequestTrace(std::string request) : request(std::move(request)) {}
 
@@ -74,7 +74,7 @@
 
   bool Empty() const { return this->entries.empty(); }
   const std::vector<LogEntry>& Entries() const { return this->entries; }
-  const std::vector<ForeignLines>& Foreign() const { return this->foreign; }
+  const std::vector<SkippedLines>& Skipped() const { return this->foreign; }
   int64_t Dropped() const { return this->dropped; }
 
   // The line of the answer or event that ended the request for its caller; null
@@ -87,7 +87,7 @@
 
   // The places where the request was and the milliseconds spent at each, in
   // order of time.
-  std::vector<std::pair<std::string, int64_t>> Stays() const;
+  std::vector<std::pair<std::string, int64_t>> TimeByPlace() const;
 
   // The full report, as text or as a JSON document.
   std::string Text() const;
@@ -101,12 +101,12 @@
 
   std::string request;
   std::vector<LogEntry> entries;
-  std::vector<ForeignLines> foreign;
+  std::vector<SkippedLines> foreign;
   int64_t dropped = 0;  // lines about the request beyond kMaxEntries
 };
 
 // The host after which a log file is named: "front-1" for "logs/front-1.log".
-std::string HostOfLog(std::string_view path);
+std::string HostFromLogPath(std::string_view path);
 
 // Describes a log line in a sentence for operators.
 std::string Explain(const LogEntry& entry);
--- a/packages/ctl/session.cc
+++ b/packages/ctl/session.cc
@@ -14,7 +14,7 @@
 namespace hickorystand {
 namespace {
 
-constexpr Duration kPollPeriod = std::chrono::milliseconds(200);
+constexpr Duration kPollInterval = std::chrono::milliseconds(200);
 constexpr Duration kFirstRetry = std::chrono::milliseconds(100);
 constexpr Duration kLongestRetry = std::chrono::seconds(2);
 
@@ -54,7 +54,7 @@
   out.EndArray();
 }
 
-std::string Missing(const InForceReport& report) {
+std::string DescribeMissing(const InForceReport& report) {
   std::string text;
   for (const auto& centre : report.data_centres) {
     for (const HostId& host : centre.behind) {
@@ -124,7 +124,7 @@
   }
 }
 
-bool InForceReport::Everywhere() const {
+bool InForceReport::InForceEverywhere() const {
   return this->unreachable.empty() &&
          std::ranges::all_of(this->data_centres, [](const auto& centre) {
            return centre.behind.empty();
@@ -229,11 +229,11 @@
   out.Member("waited", watch);
   WriteReport(report, out);
   this->output.Document(out.EndObject());
-  if (!report.Everywhere()) {
+  if (!report.InForceEverywhere()) {
     return Fail(ErrorKind::kTimeout,
                 "revision " + std::to_string(applied->revision) +
                     " is accepted, but not known to be in force everywhere:" +
-                    Missing(report));
+                    DescribeMissing(report));
   }
   return true;
 }
@@ -252,10 +252,10 @@
                           MillisecondsText(took) + " ms");
       }
     }
-    if (report.Everywhere() || took > this->settings.wait) {
+    if (report.InForceEverywhere() || took > this->settings.wait) {
       return report;
     }
-    std::this_thread::sleep_for(kPollPeriod);
+    std::this_thread::sleep_for(kPollInterval);
   }
 }
 
--- a/packages/ctl/session.h
+++ b/packages/ctl/session.h
@@ -81,7 +81,7 @@
   std::vector<SocketAddress> unreachable;
 
   // True if every host answered and has the revision.
-  bool Everywhere() const;
+  bool InForceEverywhere() const;
 };
 
 // One run of hickoryctl. Connects to the key-value service and to the hosts on
--- a/packages/kernel/dropping_buffer.cc
+++ b/packages/kernel/dropping_buffer.cc
@@ -8,9 +8,9 @@
 
 // A pipe that polls as writable accepts this many bytes without blocking
 // (PIPE_BUF).
-constexpr size_t kLongestWrite = 4096;
+constexpr size_t kMaxWriteBytes = 4096;
 
-bool TakesMore(int descriptor) {
+bool IsWritable(int descriptor) {
   pollfd state{.fd = descriptor, .events = POLLOUT};
   return poll(&state, 1, 0) == 1 && (state.revents & POLLOUT) != 0;
 }
@@ -30,12 +30,12 @@
 }
 
 int DroppingBuffer::sync() {
-  if (this->line.size() > kLongestWrite) {
-    this->line.resize(kLongestWrite - 1);
+  if (this->line.size() > kMaxWriteBytes) {
+    this->line.resize(kMaxWriteBytes - 1);
     this->line += '\n';
   }
   if (!this->line.empty() &&
-      (!TakesMore(this->descriptor) ||
+      (!IsWritable(this->descriptor) ||
        write(this->descriptor, this->line.data(), this->line.size()) < 0)) {
     ++this->dropped;
   }
--- a/packages/platform/etcd_messages.cc
+++ b/packages/platform/etcd_messages.cc
@@ -41,7 +41,7 @@
 void WriteRangeBody(const StoreOperation& read, JsonWriter& out) {
   out.BeginObject().Member("key", ToBase64(read.key));
   if (read.kind == StoreOperation::Kind::kGetPrefix) {
-    out.Member("range_end", ToBase64(EndOfPrefix(read.key)));
+    out.Member("range_end", ToBase64(PrefixRangeEnd(read.key)));
   }
   out.EndObject();
 }
@@ -126,7 +126,7 @@
   return {reinterpret_cast<const char*>(bytes), length};
 }
 
-std::string EndOfPrefix(const std::string& prefix) {
+std::string PrefixRangeEnd(const std::string& prefix) {
   std::string end = prefix;
   while (!end.empty()) {
     const auto last = static_cast<unsigned char>(end.back());
@@ -139,7 +139,7 @@
   return {'\0'};
 }
 
-bool OnlyReads(const StoreTransaction& transaction) {
+bool IsReadOnly(const StoreTransaction& transaction) {
   return std::ranges::all_of(transaction.then, IsRead) &&
          std::ranges::all_of(transaction.otherwise, IsRead);
 }
@@ -171,7 +171,7 @@
   return JsonWriter()
       .BeginObject()
       .Member("key", ToBase64(prefix))
-      .Member("range_end", ToBase64(EndOfPrefix(prefix)))
+      .Member("range_end", ToBase64(PrefixRangeEnd(prefix)))
       .Member("min_mod_revision", std::to_string(above_revision + 1))
       .Member("keys_only", true)
       .EndObject()
@@ -184,7 +184,7 @@
       .Name("create_request")
       .BeginObject()
       .Member("key", ToBase64(prefix))
-      .Member("range_end", ToBase64(EndOfPrefix(prefix)))
+      .Member("range_end", ToBase64(PrefixRangeEnd(prefix)))
       .Member("start_revision", std::to_string(after_revision + 1))
       .Member("progress_notify", true)
       .EndObject()
--- a/packages/platform/etcd_messages.h
+++ b/packages/platform/etcd_messages.h
@@ -29,10 +29,10 @@
 
 // The end (exclusive) of the key range of a prefix; "\0", which means no end,
 // for the empty prefix.
-std::string EndOfPrefix(const std::string& prefix);
+std::string PrefixRangeEnd(const std::string& prefix);
 
 // Whether a transaction only reads, and so may be sent twice.
-bool OnlyReads(const StoreTransaction& transaction);
+bool IsReadOnly(const StoreTransaction& transaction);
 
 // Whether a transaction is one unconditional read, which /v3/kv/range can
 // serve.
--- a/packages/platform/etcd_store.cc
+++ b/packages/platform/etcd_store.cc
@@ -27,18 +27,18 @@
 
 // Backoff during an outage. Short, because a lease must be renewed soon after
 // the service has recovered.
-constexpr Duration kFirstWait = std::chrono::milliseconds(50);
-constexpr Duration kLongestWait = std::chrono::seconds(1);
+constexpr Duration kInitialRetryDelay = std::chrono::milliseconds(50);
+constexpr Duration kMaxRetryDelay = std::chrono::seconds(1);
 
 // Consecutive failures after which transactions fail without being sent until
 // the backoff delay has passed.
-constexpr int kFailuresToStop = 3;
+constexpr int kFailFastThreshold = 3;
 
 // Probes of an idle watch: their period, how late an event may arrive after a
 // probe has found its change, and the consecutive failures that end the watch.
 constexpr Duration kProbePeriod = std::chrono::seconds(1);
-constexpr Duration kProbeGrace = std::chrono::milliseconds(500);
-constexpr int kProbeFailures = 3;
+constexpr Duration kEventGracePeriod = std::chrono::milliseconds(500);
+constexpr int kMaxProbeFailures = 3;
 
 // The longest line accepted from a watch stream. A longer one ends the watch,
 // after which the caller reads the state again.
@@ -48,7 +48,7 @@
 // Whether a status means that the request certainly had no effect. Others, such
 // as 500 and 503, are also sent when the service timed out on its own members
 // while the write continued.
-bool SurelyRefused(int status) {
+bool IsDefiniteRejection(int status) {
   return status >= 400 && status < 500 && status != SOUP_STATUS_REQUEST_TIMEOUT;
 }
 
@@ -64,21 +64,22 @@
 class EtcdCalls {
  public:
   explicit EtcdCalls(const KeyValueStoreOptions& options)
-      : options(options), backoff(kFirstWait, kLongestWait, options.seed) {
+      : options(options),
+        backoff(kInitialRetryDelay, kMaxRetryDelay, options.seed) {
     assert(!options.addresses.empty() && "the store has no address");
   }
 
   const SocketAddress& Preferred() const {
     return this->options.addresses[this->preferred];
   }
-  void AvoidPreferred() {
+  void SelectNextAddress() {
     this->preferred = (this->preferred + 1) % this->options.addresses.size();
   }
 
   // Whether the service is unavailable and the backoff delay has not passed
   // yet.
   bool Waiting() const {
-    return this->backoff.Failures() >= kFailuresToStop &&
+    return this->backoff.Failures() >= kFailFastThreshold &&
            this->clock.Now() < this->next_try;
   }
 
@@ -132,19 +133,19 @@
             done(reply);
             return;
           }
-          this->AvoidPreferred();
+          this->SelectNextAddress();
           const bool retry =
               reply.outcome == JsonOutcome::kNotSent || request.read;
           if (retry && attempts_left > 1 && this->clock.Now() < deadline) {
             this->Try(request, deadline, attempts_left - 1, done);
             return;
           }
-          this->NoteFailure(reply);
+          this->RecordFailure(reply);
           done(reply);
         });
   }
 
-  void NoteFailure(const JsonReply& reply) {
+  void RecordFailure(const JsonReply& reply) {
     this->next_try = this->clock.Now() + this->backoff.Next();
     this->Count("store_failures_total");
     if (this->limiter.Allow(this->clock.Now())) {
@@ -209,7 +210,7 @@
          .on_bytes = [this](std::string_view bytes) { this->Take(bytes); },
          .on_end =
              [this](HttpEnd, const std::string& detail) {
-               this->calls->AvoidPreferred();
+               this->calls->SelectNextAddress();
                this->Lose({ErrorKind::kPlatformDown,
                            detail.empty() ? "the stream ended" : detail,
                            {}});
@@ -291,17 +292,17 @@
                        .read = true},
                       [this, alive = this->alive](const JsonReply& reply) {
                         if (*alive) {
-                          this->TakeProbe(reply);
+                          this->OnProbeReply(reply);
                         }
                       });
   }
 
-  void TakeProbe(const JsonReply& reply) {
+  void OnProbeReply(const JsonReply& reply) {
     const auto changed = reply.outcome == JsonOutcome::kAnswered
                              ? ReadRangeReply(reply.body)
                              : std::nullopt;
     if (!changed) {
-      if (++this->failures >= kProbeFailures) {
+      if (++this->failures >= kMaxProbeFailures) {
         this->Lose(
             {ErrorKind::kPlatformDown, "the probes of the watch failed", {}});
       }
@@ -314,7 +315,7 @@
       return;
     }
     this->grace = Timer::After(
-        kProbeGrace, [this, expected_revision = newest->mod_revision] {
+        kEventGracePeriod, [this, expected_revision = newest->mod_revision] {
           if (this->seen < expected_revision) {
             this->Lose({ErrorKind::kTimeout,
                         "the watch missed a change that a probe found",
@@ -395,7 +396,7 @@
   void Transact(const StoreTransaction& transaction,
                 std::function<void(StoreReply)> done) override {
     if (this->calls->Waiting()) {
-      this->AnswerLater(std::move(done));
+      this->RefuseLater(std::move(done));
       return;
     }
     const bool range = IsSingleRead(transaction);
@@ -403,7 +404,7 @@
                               .body = range
                                           ? WriteRange(transaction.then.front())
                                           : WriteTransaction(transaction),
-                              .read = OnlyReads(transaction)};
+                              .read = IsReadOnly(transaction)};
     this->calls->Send(request,
                       [range, done = std::move(done)](const JsonReply& reply) {
                         done(ReadReply(reply, range));
@@ -479,8 +480,9 @@
       return {.outcome = StoreOutcome::kUnknown};
     }
     if (reply.status != SOUP_STATUS_OK) {
-      return {.outcome = SurelyRefused(reply.status) ? StoreOutcome::kNotApplied
-                                                     : StoreOutcome::kUnknown};
+      return {.outcome = IsDefiniteRejection(reply.status)
+                             ? StoreOutcome::kNotApplied
+                             : StoreOutcome::kUnknown};
     }
     const auto read =
         range ? ReadRangeReply(reply.body) : ReadTransactionReply(reply.body);
@@ -489,7 +491,7 @@
 
   // Fails a transaction during an outage without sending it. The callback runs
   // from a timer, after the caller has returned.
-  void AnswerLater(std::function<void(StoreReply)> done) {
+  void RefuseLater(std::function<void(StoreReply)> done) {
     const uint64_t ticket = ++this->tickets;
     this->refusals[ticket] =
         Timer::After(Duration::zero(), [this, ticket, done = std::move(done)] {
--- a/packages/platform/json_client.cc
+++ b/packages/platform/json_client.cc
@@ -7,7 +7,7 @@
 namespace {
 
 // Large enough for a whole configuration: 64 buckets of 1 MB each, in base64.
-constexpr size_t kMaxReply = size_t{96} << 20;
+constexpr size_t kMaxReplyBodyBytes = size_t{96} << 20;
 
 // A call whose timeout restarts on progress takes at most this many timeouts.
 constexpr int kMaxTimeoutFactor = 4;
@@ -74,16 +74,17 @@
            [this, id](std::string_view bytes) {
              Pending& at = *this->pending.at(id);
              at.reply.body += bytes;
-             if (at.reply.body.size() > kMaxReply) {
+             if (at.reply.body.size() > kMaxReplyBodyBytes) {
                at.exchange->Cancel();
-               this->TakeEnd(id, HttpEnd::kProtocol, "the answer is too long");
+               this->OnExchangeEnd(id, HttpEnd::kProtocol,
+                                   "the answer is too long");
                return;
              }
              this->OnProgress(id);
            },
        .on_end =
            [this, id](HttpEnd end, const std::string& detail) {
-             this->TakeEnd(id, end, detail);
+             this->OnExchangeEnd(id, end, detail);
            }});
 }
 
@@ -96,7 +97,9 @@
   }
 }
 
-void JsonClient::TakeEnd(uint64_t id, HttpEnd end, const std::string& detail) {
+void JsonClient::OnExchangeEnd(uint64_t id,
+                               HttpEnd end,
+                               const std::string& detail) {
   if (end == HttpEnd::kWhole) {
     JsonReply reply = std::move(this->pending.at(id)->reply);
     reply.outcome = JsonOutcome::kAnswered;
--- a/packages/platform/json_client.h
+++ b/packages/platform/json_client.h
@@ -81,7 +81,7 @@
 
   void OnProgress(uint64_t id);
   void End(uint64_t id, JsonReply reply);
-  void TakeEnd(uint64_t id, HttpEnd end, const std::string& detail);
+  void OnExchangeEnd(uint64_t id, HttpEnd end, const std::string& detail);
   void GiveUp(uint64_t id);
 
   HttpClient client;
--- a/packages/platform/platform_client.cc
+++ b/packages/platform/platform_client.cc
@@ -7,8 +7,8 @@
 namespace hickorystand {
 namespace {
 
-constexpr int kServerErrors = 500;
-constexpr int kTimeoutStatus = 408;
+constexpr int kFirstServerErrorStatus = 500;
+constexpr int kRequestTimeoutStatus = 408;
 
 PlatformOutcome OutcomeOf(const JsonReply& reply) {
   switch (reply.outcome) {
@@ -23,7 +23,8 @@
     return PlatformOutcome::kAccepted;
   }
   // A server error may occur after the request has taken effect.
-  return reply.status >= kServerErrors || reply.status == kTimeoutStatus
+  return reply.status >= kFirstServerErrorStatus ||
+                 reply.status == kRequestTimeoutStatus
              ? PlatformOutcome::kUnknown
              : PlatformOutcome::kRefused;
 }
--- a/tests/authority_test.cc
+++ b/tests/authority_test.cc
@@ -12,7 +12,7 @@
 
 #include "decisions/coordinator.h"
 #include "kernel/log.h"
-#include "promise_world.h"
+#include "protocol_simulation.h"
 
 namespace hickorystand {
 namespace {
@@ -110,7 +110,8 @@
   std::string lost_key;
 };
 
-const OrderRequest kRole = {.endpoint = EndpointId("e"), .argument = "decode"};
+const OrderRequest kChangeRole = {.endpoint = EndpointId("e"),
+                                  .argument = "decode"};
 const OrderRequest kMore = {.kind = OrderKind::kChangeEndpoints,
                             .service = ServiceId("s"),
                             .change = 1};
@@ -139,7 +140,8 @@
   second.Tick(At(0));
   CHECK(first.coordinator.Ready());
   CHECK(!second.coordinator.Ready());
-  CHECK(second.Propose(At(1), kRole).error().kind == ErrorKind::kNotHolder);
+  CHECK(second.Propose(At(1), kChangeRole).error().kind ==
+        ErrorKind::kNotHolder);
 }
 
 // A host is suspended for a minute, its lease expires and another host sends
@@ -168,7 +170,7 @@
 TEST(Coordinator, SendsAnOrderWhoseRecordWasWrittenButNotConfirmed) {
   first.Tick(At(0));
   first.lost_key = OrderRecordKey(DataCentreId("dc"));
-  CHECK(first.Propose(At(1), kRole).has_value());
+  CHECK(first.Propose(At(1), kChangeRole).has_value());
   first.Tick(At(1.5));
   LONGS_EQUAL(1, first.Sent<SendOrder>().size());
 }
@@ -180,7 +182,7 @@
 // reports it done.
 TEST(Coordinator, SuccessorRepeatsAnOpenOrderAndRefusesOthersThere) {
   first.Tick(At(0));
-  const Result<OrderId> open = first.Propose(At(1), kRole);
+  const Result<OrderId> open = first.Propose(At(1), kChangeRole);
   TakeOver();
   LONGS_EQUAL(1, second.Sent<SendOrder>().size());
   CHECK(second.Sent<SendOrder>().front().order.id == *open);
@@ -290,7 +292,8 @@
                                .argument = std::string(256, 'x')})
               .has_value());
   }
-  CHECK(first.Propose(At(1), kRole).error().kind == ErrorKind::kOverloaded);
+  CHECK(first.Propose(At(1), kChangeRole).error().kind ==
+        ErrorKind::kOverloaded);
   first.Tick(At(1.5));
   CHECK(store.LargestValue() < 1'000'000);
   // The first proposal is written alone and the other 1023 together.
@@ -365,14 +368,14 @@
   without.coordinator.record_takeover = false;
   const std::vector<Injection> faults = {
       {.step = Step::kPlatformSend, .fault = Fault::kPause},
-      {.step = Step::kPlatformSend, .fault = Fault::kPauseInside}};
+      {.step = Step::kPlatformSend, .fault = Fault::kPauseAfterCheck}};
   CHECK(!World(without, faults).Run().violations.empty());
   CHECK(World(MatrixOptions(), faults).Run().violations.empty());
 }
 
 // Guards against a request that runs twice: its repeat stayed unread on a
 // paused host until the claim of the first had expired.
-TEST(Seeds, ClaimOutlivesARepeatThatLayUnread) {
+TEST(Seeds, ClaimOutlivesAnUnreadRepeat) {
   CHECK(World(SoakOptions(107), {}).Run().violations.empty());
 }
 
--- a/tests/claims_test.cc
+++ b/tests/claims_test.cc
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "decisions/claims.h"
-#include "promise_world.h"
+#include "protocol_simulation.h"
 
 namespace hickorystand {
 namespace {
@@ -133,7 +133,7 @@
 // The outcome must be reported as unknown, not as "not run", since a retry may
 // be refused. The unused record must be removed once the store answers, so that
 // the caller may send the request again.
-TEST(Claims, UnknownIsSaidAndLaterCleanedUp) {
+TEST(Claims, UnknownOutcomeIsReportedAndLaterCleanedUp) {
   first.lose_replies = true;
   first.Claim(0, "r1", "k");
   first.lose_replies = false;
--- a/tests/configuration_test.cc
+++ b/tests/configuration_test.cc
@@ -75,10 +75,10 @@
 
 // Runs a change whose i-th transaction suffers `losses[i]`. Calls `between`
 // with the index after each transaction, for example to apply another change.
-ApplyResult RunThroughLosses(ConfigurationChange& change,
-                             KeyValueState& store,
-                             const std::vector<Loss>& losses,
-                             const std::function<void(size_t)>& between = {}) {
+ApplyResult RunWithLosses(ConfigurationChange& change,
+                          KeyValueState& store,
+                          const std::vector<Loss>& losses,
+                          const std::function<void(size_t)>& between = {}) {
   StoreTransaction next = change.Start();
   for (size_t i = 0;; ++i) {
     const Loss loss = i < losses.size() ? losses[i] : Loss::kNone;
@@ -100,8 +100,8 @@
   }
 }
 
-ConfigurationChange AddingAccount(const std::string& id,
-                                  const std::string& author = "maria") {
+ConfigurationChange MakeAddAccount(const std::string& id,
+                                   const std::string& author = "maria") {
   return {{.name = author, .token = "token-" + id},
           [id](const Configuration& in_force) {
             return AddRecord(in_force, {.kind = "account", .id = id});
@@ -112,7 +112,7 @@
   return text.find(part) != std::string::npos;
 }
 
-std::string FaultOf(const Record& record) {
+std::string ValidationError(const Record& record) {
   const auto added = AddRecord(Sample(), record);
   return added ? "" : added.error().message;
 }
@@ -149,9 +149,9 @@
 // partly applied.
 TEST(ConfigurationChange, SecondOfTwoOperatorsIsToldWhatTheFirstChanged) {
   KeyValueState store;
-  ConfigurationChange late = AddingAccount("late", "tuan");
+  ConfigurationChange late = MakeAddAccount("late", "tuan");
   auto late_write = late.OnReply(store.Transact(late.Start()));
-  ConfigurationChange early = AddingAccount("early", "maria");
+  ConfigurationChange early = MakeAddAccount("early", "maria");
   CHECK(RunChange(early, store).has_value());
   const auto end =
       late.OnReply(store.Transact(std::get<StoreTransaction>(late_write)));
@@ -170,9 +170,9 @@
 // conflict with itself.
 TEST(ConfigurationChange, LostReplyIsKnownByItsToken) {
   KeyValueState store;
-  ConfigurationChange change = AddingAccount("a");
-  const auto result = RunThroughLosses(
-      change, store, {Loss::kNone, Loss::kReply, Loss::kReply});
+  ConfigurationChange change = MakeAddAccount("a");
+  const auto result =
+      RunWithLosses(change, store, {Loss::kNone, Loss::kReply, Loss::kReply});
   CHECK(result.has_value());
   LONGS_EQUAL(1, result->revision);
   LONGS_EQUAL(1, ReadAll(store).head.revision);
@@ -182,11 +182,11 @@
 // first change is still in force and must be reported as applied.
 TEST(ConfigurationChange, LostReplyIsKnownUnderALaterChange) {
   KeyValueState store;
-  ConfigurationChange change = AddingAccount("a");
-  const auto result = RunThroughLosses(
+  ConfigurationChange change = MakeAddAccount("a");
+  const auto result = RunWithLosses(
       change, store, {Loss::kNone, Loss::kReply}, [&](size_t tries) {
         if (tries == 1) {
-          ConfigurationChange other = AddingAccount("b", "tuan");
+          ConfigurationChange other = MakeAddAccount("b", "tuan");
           CHECK(RunChange(other, store).has_value());
         }
       });
@@ -200,11 +200,11 @@
 // and not "unknown".
 TEST(ConfigurationChange, LostRequestBeforeAnotherChangeIsAConflict) {
   KeyValueState store;
-  ConfigurationChange change = AddingAccount("a");
-  const auto result = RunThroughLosses(
+  ConfigurationChange change = MakeAddAccount("a");
+  const auto result = RunWithLosses(
       change, store, {Loss::kNone, Loss::kRequest}, [&](size_t tries) {
         if (tries == 1) {
-          ConfigurationChange other = AddingAccount("b", "tuan");
+          ConfigurationChange other = MakeAddAccount("b", "tuan");
           CHECK(RunChange(other, store).has_value());
         }
       });
@@ -212,23 +212,23 @@
   CHECK(!ReadAll(store).configuration->accounts.contains(AccountId("a")));
 }
 
-TEST(ConfigurationChange, GivesUpOnADeadServiceWithoutClaimingToKnow) {
+TEST(ConfigurationChange, UnreachableServiceGivesUnknownOutcome) {
   KeyValueState store;
   const std::vector<Loss> dead(20, Loss::kRequest);
-  ConfigurationChange unread = AddingAccount("a");
-  CHECK(RunThroughLosses(unread, store, dead).error().kind ==
+  ConfigurationChange unread = MakeAddAccount("a");
+  CHECK(RunWithLosses(unread, store, dead).error().kind ==
         ErrorKind::kPlatformDown);
   std::vector<Loss> after_read = dead;
   after_read.front() = Loss::kNone;
-  ConfigurationChange unknown = AddingAccount("a");
-  CHECK(RunThroughLosses(unknown, store, after_read).error().kind ==
+  ConfigurationChange unknown = MakeAddAccount("a");
+  CHECK(RunWithLosses(unknown, store, after_read).error().kind ==
         ErrorKind::kOutcomeUnknown);
 }
 
 TEST(ConfigurationChange, HeadRemembersABoundedNumberOfChanges) {
   KeyValueState store;
   for (int i = 0; i < 50; ++i) {
-    ConfigurationChange change = AddingAccount("a" + std::to_string(i));
+    ConfigurationChange change = MakeAddAccount("a" + std::to_string(i));
     CHECK(RunChange(change, store).has_value());
   }
   LONGS_EQUAL(kMaxRecentChanges, ReadAll(store).head.recent.size());
@@ -237,7 +237,7 @@
 
 // Several operators make changes at once through a service that loses requests
 // and replies. Each result must match the final state.
-TEST(ConfigurationChange, NobodyIsToldSomethingFalse) {
+TEST(ConfigurationChange, ResultsOfRacingOperatorsAreTrue) {
   CHECK(rc::check("racing operators", [](uint32_t seed) {
     std::mt19937 random(seed);
     KeyValueState store;
@@ -250,7 +250,7 @@
     std::vector<Operator> operators;
     for (int i = 0; i < 4; ++i) {
       const std::string account = "a" + std::to_string(i);
-      operators.push_back({account, AddingAccount(account), {}, {}});
+      operators.push_back({account, MakeAddAccount(account), {}, {}});
       operators.back().next = operators.back().change.Start();
     }
     while (std::ranges::any_of(
@@ -292,22 +292,26 @@
 TEST_GROUP(ConfigurationRecords){};
 
 TEST(ConfigurationRecords, SaysWhatIsAllowed) {
-  CHECK(Contains(FaultOf({"account", "b", {{"weight", "0"}}}),
+  CHECK(Contains(ValidationError({"account", "b", {{"weight", "0"}}}),
                  "account/b: weight: '0' is not allowed; a number from 0.01 "
                  "to 1000 is"));
-  CHECK(Contains(FaultOf({"account", "b", {{"weight", "nan"}}}), "a number"));
-  CHECK(Contains(FaultOf({"service", "s", {{"deadline", "5"}}}),
+  CHECK(Contains(ValidationError({"account", "b", {{"weight", "nan"}}}),
+                 "a number"));
+  CHECK(Contains(ValidationError({"service", "s", {{"deadline", "5"}}}),
                  "a length of time from 100ms to 1h"));
-  CHECK(Contains(FaultOf({"service", "s", {{"kind", "odd"}}}),
+  CHECK(Contains(ValidationError({"service", "s", {{"kind", "odd"}}}),
                  "one of language, plain"));
-  CHECK(Contains(FaultOf({"endpoint", "e", {}}), "service: is missing"));
-  CHECK(Contains(FaultOf({"account", "a b", {}}), "an id of up to 64 letters"));
-  CHECK(Contains(FaultOf({"key", "abc", {{"account", "acme"}}}), "SHA-256"));
-  CHECK(Contains(FaultOf({"moon", "m", {}}), "no such kind"));
+  CHECK(
+      Contains(ValidationError({"endpoint", "e", {}}), "service: is missing"));
+  CHECK(Contains(ValidationError({"account", "a b", {}}),
+                 "an id of up to 64 letters"));
+  CHECK(Contains(ValidationError({"key", "abc", {{"account", "acme"}}}),
+                 "SHA-256"));
+  CHECK(Contains(ValidationError({"moon", "m", {}}), "no such kind"));
 }
 
 TEST(ConfigurationRecords, PassesOverFieldsOfNewerPrograms) {
-  CHECK(FaultOf({"account", "b", {{"colour", "red"}}}).empty());
+  CHECK(ValidationError({"account", "b", {{"colour", "red"}}}).empty());
 }
 
 TEST(ConfigurationRecords, ARecordWithoutALimitSetsNone) {
--- a/tests/daemon_test.cc
+++ b/tests/daemon_test.cc
@@ -66,7 +66,7 @@
     constexpr int kThreads = 8;
     for (int i = 0; i < kThreads; ++i) {
       this->threads.emplace_back([this](const std::stop_token& over) {
-        this->Enter();
+        this->BindThread();
         while (!over.stop_requested()) {
         }
       });
@@ -76,7 +76,9 @@
   BusyCore(const BusyCore&) = delete;
   BusyCore& operator=(const BusyCore&) = delete;
 
-  void Enter() const { sched_setaffinity(0, sizeof this->core, &this->core); }
+  void BindThread() const {
+    sched_setaffinity(0, sizeof this->core, &this->core);
+  }
 
  private:
   cpu_set_t before{};
@@ -174,7 +176,7 @@
   for (int i = 0; i < kHosts; ++i) {
     const BusyCore core;
     HostBed bed(0);
-    bed.StartHost("h1", [&core] { core.Enter(); });
+    bed.StartHost("h1", [&core] { core.BindThread(); });
     ready += Eventually([&] { return bed.InForce(1); }, kReadyTries) ? 1 : 0;
   }
   LONGS_EQUAL(kHosts, ready);
@@ -195,7 +197,7 @@
   CHECK(Eventually(
       [&] { return GeneratedInReports(bed.platform) >= generated; }));
   LONGS_EQUAL(generated, GeneratedInReports(bed.platform));
-  LONGS_EQUAL(0, bed.platform.Offences().Sum());
+  LONGS_EQUAL(0, bed.platform.Violations().Sum());
 }
 
 // A stream breaks after three tokens and is resumed. The client account is
--- a/tests/digest_delta_test.cc
+++ b/tests/digest_delta_test.cc
@@ -19,8 +19,8 @@
 const HostId kReceiver("r");
 // Drops removed entries so soon that every random history contains dropped
 // ones.
-constexpr DigestSenderOptions kForgetful{.removed_retention = 1,
-                                         .max_removed = 4};
+constexpr DigestSenderOptions kShortRetention{.removed_retention = 1,
+                                              .max_removed = 4};
 constexpr int64_t kUnits = kSummaryUnit / kServedUnit;
 
 EndpointOutstanding Sent(const std::string& endpoint, int64_t requests) {
@@ -100,7 +100,7 @@
         break;
       case 7:
         ++this->incarnation;
-        this->sender = DigestSender(kForgetful);
+        this->sender = DigestSender(kShortRetention);
         this->Change();
         this->sender.OnConnected(kReceiver, this->receiver_incarnation);
         break;
@@ -137,7 +137,7 @@
   uint64_t incarnation = 1;
   uint64_t receiver_incarnation = 1;
   Digest state = MakeDigest("s");
-  DigestSender sender{kForgetful};
+  DigestSender sender{kShortRetention};
   DigestReceiver receiver;
 };
 
@@ -226,7 +226,7 @@
 
 // A peer of another release, or a faulty one, uses an index that it never
 // assigned to an id. Its delta must be rejected and a full digest be requested.
-TEST(DigestDelta, AsksForAllWhenAnIndexIsUnknown) {
+TEST(DigestDelta, RequestsAFullDigestForAnUnknownIndex) {
   DigestReceiver receiver;
   DigestDelta delta;
   delta.incarnation = delta.sequence = 1;
--- a/tests/endpoints_test.cc
+++ b/tests/endpoints_test.cc
@@ -117,7 +117,7 @@
 
 TEST_GROUP(Endpoints){};
 
-TEST(Endpoints, TellsEndsApart) {
+TEST(Endpoints, ClassifiesOutcomes) {
   CHECK(OutcomeOf(PlainAnswer(1)) == AttemptOutcome::kComplete);
   CHECK(OutcomeOf("") == AttemptOutcome::kCrashed);
   CHECK(OutcomeOf("HTTP/1.1 200 OK\r\nX-Req") == AttemptOutcome::kWrongAnswer);
@@ -187,7 +187,7 @@
 // A connection takes the request and never answers. The attempt must time out,
 // and the next one must open a new connection although an idle one of the same
 // age exists.
-TEST(Endpoints, ASilentConnectionAndItsMatesAreLeft) {
+TEST(Endpoints, SilentAndEquallyOldConnectionsAreNotReused) {
   std::atomic<int> connection_of_last = 0;
   std::atomic<bool> silent = false;
   std::promise<void> released;
@@ -283,7 +283,7 @@
   }
 }
 
-TEST(Orders, NobodyThereMeansNotSent) {
+TEST(Orders, AnUnreachableEndpointMeansNotSent) {
   ClientBed bed;
   CHECK(bed.Order({"127.0.0.1", 1}, {.id = "5-1", .fencing = 5}).state ==
         OrderState::kNotSent);
@@ -321,7 +321,7 @@
   }
 }
 
-TEST(Sse, AnEventWithoutEndIsGivenUp) {
+TEST(Sse, AnEventWithoutEndIsRefused) {
   SseParser parser([](std::string_view) {}, 100);
   CHECK(parser.Feed(std::string(90, 'x')));
   CHECK(!parser.Feed(std::string(90, 'x')));
--- a/tests/fleet_decisions_test.cc
+++ b/tests/fleet_decisions_test.cc
@@ -94,7 +94,7 @@
 // Another engine must copy the part and prefill only the new tokens. The
 // request must neither wait for the busy engine nor prefill the 13,300 tokens
 // again.
-TEST(FleetPlacement, CopiesWhatABusyEngineKeeps) {
+TEST(FleetPlacement, CopiesTheCacheOfABusyEngine) {
   FleetPlacement placement = MakePlacement(FourEngines());
   placement.OnCache(EndpointId("r1"), {.part = 7, .tokens = 13300});
   placement.OnPeerWork(
@@ -109,7 +109,7 @@
 // Guards against counting the cache entries of a failed prefill as present: the
 // retry would be sent to the same engine as if nothing were left to prefill,
 // and would wait for a whole prompt.
-TEST(FleetPlacement, ForgetsWhatWasNeverRead) {
+TEST(FleetPlacement, FailedPrefillIsNotCached) {
   FleetPlacement placement = MakePlacement(FourEngines());
   const RequestProfile shape = LongPrompt(7, 8);
   const WorkId work = placement.OnSent(At(1), EndpointId("r1"), shape,
@@ -121,7 +121,7 @@
 
 // A prefilled part counts as cached after its request has ended, until the
 // engine reports its eviction or another process has the engine's id.
-TEST(FleetPlacement, KeepsWhatWasReadUntilTheEngineLosesIt) {
+TEST(FleetPlacement, PrefilledPartsAreCachedUntilEvicted) {
   FleetPlacement placement = MakePlacement(FourEngines());
   const RequestProfile shape = LongPrompt(7, 8);
   const WorkId work =
@@ -182,7 +182,7 @@
 
 // An endpoint that is leaving, one that a peer reports as unavailable and one
 // with an unknown role receive no requests.
-TEST(FleetPlacement, LeavesOutWhatMustGetNothing) {
+TEST(FleetPlacement, SkipsUnavailableEndpoints) {
   FleetEndpoints fleet = FourEngines();
   fleet.at(EndpointId("g1")).leaving = true;
   FleetPlacement placement = MakePlacement(fleet);
@@ -198,7 +198,7 @@
 // All engines have four seconds of queued work and the caller's timeout is two
 // seconds. The request must be refused at once, with the time after which there
 // is capacity.
-TEST(FleetPlacement, RefusesWhatWouldComeTooLate) {
+TEST(FleetPlacement, RefusesRequestsThatWouldTimeOut) {
   FleetPlacement placement = MakePlacement(FourEngines());
   std::vector<EndpointOutstanding> work;
   for (const auto& [id, engine] : FourEngines()) {
@@ -216,7 +216,7 @@
 // limit. The endpoint resets connections beyond the limit, and it is unknown
 // whether their requests ran. Such requests must go to another endpoint or be
 // refused.
-TEST(FleetPlacement, KeepsToItsPartOfAnEndpointsConnections) {
+TEST(FleetPlacement, StaysWithinItsShareOfAnEndpointsConnections) {
   FleetPlacement placement =
       MakePlacement(Fleet({Engine("g1", EndpointRole::kDecode),
                            Engine("g2", EndpointRole::kDecode)}));
@@ -235,7 +235,7 @@
 
 // An engine with less memory than others: parts that no longer fit into its
 // cache must not attract prompts as if they were still cached.
-TEST(FleetPlacement, BelievesNoMoreKeptThanAServicesEnginesHold) {
+TEST(FleetPlacement, LimitsCachedTokensToTheServicesCacheSize) {
   FleetPlacement placement = MakePlacement(FourEngines());
   const RequestProfile shape = LongPrompt(1, 2);
   placement.SetServiceParameters(shape.service, {.cache_tokens = 20000});
@@ -284,7 +284,7 @@
 // came back during the same burst and were refused for good. The retry time
 // must grow with the time for which the host has refused requests, and reset
 // after the burst.
-TEST(FleetPlacement, SendsCallersAwayForAsLongAsTheBurstHasLasted) {
+TEST(FleetPlacement, RetryTimeGrowsWithTheBurst) {
   FleetPlacement placement = MakePlacement(FourEngines());
   const Duration queue = std::chrono::milliseconds(40);
   CHECK(placement.OnRefused(At(10), kService, queue) == queue);
@@ -301,7 +301,7 @@
 // events past their deadline. Long prompts must not be prefilled there once the
 // pauses approach the limit; short ones may be. All prompts may be again when
 // the pauses are short or no stream runs any more.
-TEST(FleetPlacement, ReadsNoLongPromptsWhereStreamsFallBehind) {
+TEST(FleetPlacement, PrefillsNoLongPromptsWhereStreamsFallBehind) {
   FleetPlacement placement =
       MakePlacement(Fleet({Engine("r1", EndpointRole::kPrefill),
                            Engine("g1", EndpointRole::kDecode)}));
@@ -373,7 +373,7 @@
 
 // Streams go to an on-demand engine before a spot engine that may be reclaimed,
 // until so many of its slots are taken that they slow down.
-TEST(FleetPlacement, GeneratesAtEnginesThatStayWhileTheyHaveRoom) {
+TEST(FleetPlacement, PrefersOnDemandEnginesForDecode) {
   FleetEndpoints fleet = Fleet({Engine("stays", EndpointRole::kDecode),
                                 Engine("spot", EndpointRole::kDecode)});
   fleet.at(EndpointId("spot")).spot = true;
@@ -400,7 +400,7 @@
 namespace {
 
 // An engine that prefills at a constant rate after a fixed delay.
-struct PlayedEngine {
+struct SimulatedEngine {
   double tokens_per_second = 0;
   Duration delay = std::chrono::milliseconds(2);
 
@@ -411,10 +411,10 @@
   }
 };
 
-constexpr double kGuess = 40000;  // tokens per second
+constexpr double kInitialRate = 40000;  // tokens per second
 
-double LearnedFrom(const std::vector<PlayedEngine>& engines, int readings) {
-  EnginePace pace({.prompt_tokens = kGuess});
+double EstimateFrom(const std::vector<SimulatedEngine>& engines, int readings) {
+  EnginePace pace({.prompt_tokens = kInitialRate});
   for (int i = 0; i < readings; ++i) {
     const auto engine = static_cast<size_t>(i) % engines.size();
     pace.OnRead(engines[engine].Read(3000 + 500 * (i % 7)));
@@ -427,49 +427,50 @@
 // Engines are eight times as fast or as slow as the initial estimate. After 40
 // measurements the estimate must be right within a third, so that hosts neither
 // refuse requests that could be served nor queue requests that can't.
-TEST(EnginePace, FindsEnginesFarFromTheGuess) {
+TEST(EnginePace, EstimatesEnginesFarFromTheInitialRate) {
   for (const double factor : {8.0, 2.5, 1.0, 0.4, 0.125}) {
     const double learned =
-        LearnedFrom({{.tokens_per_second = kGuess * factor}}, 40);
-    CHECK(learned > kGuess * factor / 1.34);
-    CHECK(learned < kGuess * factor * 1.34);
+        EstimateFrom({{.tokens_per_second = kInitialRate * factor}}, 40);
+    CHECK(learned > kInitialRate * factor / 1.34);
+    CHECK(learned < kInitialRate * factor * 1.34);
   }
 }
 
 // One engine in five hangs and answers after seconds; in another fleet one in
 // five reports immediate prefills. Neither may move the estimate away from that
 // of the other engines.
-TEST(EnginePace, IsNotLedOffByAFewEngines) {
-  const PlayedEngine regular{.tokens_per_second = kGuess};
-  for (const PlayedEngine& outlier :
-       {PlayedEngine{.tokens_per_second = kGuess / 100},
-        PlayedEngine{.tokens_per_second = kGuess * 1000}}) {
+TEST(EnginePace, IgnoresAFewOutliers) {
+  const SimulatedEngine regular{.tokens_per_second = kInitialRate};
+  for (const SimulatedEngine& outlier :
+       {SimulatedEngine{.tokens_per_second = kInitialRate / 100},
+        SimulatedEngine{.tokens_per_second = kInitialRate * 1000}}) {
     const double learned =
-        LearnedFrom({regular, regular, regular, regular, outlier}, 500);
-    CHECK(learned > kGuess / 1.34);
-    CHECK(learned < kGuess * 1.34);
+        EstimateFrom({regular, regular, regular, regular, outlier}, 500);
+    CHECK(learned > kInitialRate / 1.34);
+    CHECK(learned < kInitialRate * 1.34);
   }
 }
 
 // A host that has just started adopts the measurements of its peers, except
 // invalid figures and those with fewer measurements than its own.
 TEST(EnginePace, AHostThatHasJustStartedTakesOverWhatOthersKnow) {
-  EnginePace known({.prompt_tokens = kGuess});
-  const PlayedEngine fast{.tokens_per_second = 8 * kGuess};
+  EnginePace known({.prompt_tokens = kInitialRate});
+  const SimulatedEngine fast{.tokens_per_second = 8 * kInitialRate};
   for (int i = 0; i < 100; ++i) {
     known.OnRead(fast.Read(4000));
   }
-  EnginePace fresh({.prompt_tokens = kGuess});
+  EnginePace fresh({.prompt_tokens = kInitialRate});
   PaceFigures broken = fresh.Figures();
   broken.token_prefill = {.seconds = 0, .measurements = 1000};
   fresh.Adopt(broken);
-  DOUBLES_EQUAL(kGuess, fresh.PrefillTokensPerSecond(EndpointRole::kPrefill),
-                1);
+  DOUBLES_EQUAL(kInitialRate,
+                fresh.PrefillTokensPerSecond(EndpointRole::kPrefill), 1);
   fresh.Adopt(known.Figures());
   DOUBLES_EQUAL(known.PrefillTokensPerSecond(EndpointRole::kPrefill),
                 fresh.PrefillTokensPerSecond(EndpointRole::kPrefill), 1);
-  known.Adopt(EnginePace({.prompt_tokens = kGuess}).Figures());
-  CHECK(known.PrefillTokensPerSecond(EndpointRole::kPrefill) > 5 * kGuess);
+  known.Adopt(EnginePace({.prompt_tokens = kInitialRate}).Figures());
+  CHECK(known.PrefillTokensPerSecond(EndpointRole::kPrefill) >
+        5 * kInitialRate);
 }
 
 TEST_GROUP(FleetRetryBudget){};
@@ -620,7 +621,7 @@
 // Nearly all load is prefill. Decode engines change to prefill one by one until
 // only those that the streams need are left, at least one per zone. Then no
 // further change may follow.
-TEST(RolePlan, LeavesFewEnginesGeneratingAndSettles) {
+TEST(RolePlan, LeavesFewDecodeEnginesAndSettles) {
   FleetEndpoints fleet;
   for (int i = 0; i < 18; ++i) {
     const FleetEndpoint engine =
@@ -648,7 +649,7 @@
 }
 
 // The only decode engine is lost: a prefill engine must take its role.
-TEST(RolePlan, ReplacesALostGeneratingEngine) {
+TEST(RolePlan, ReplacesALostDecodeEngine) {
   const FleetEndpoints fleet = Fleet({Engine("r1", EndpointRole::kPrefill),
                                       Engine("r2", EndpointRole::kPrefill),
                                       Engine("r3", EndpointRole::kPrefill)});
@@ -659,7 +660,7 @@
 // Long streams run on all engines but one. An engine changes its role only when
 // all its streams have ended, and accepts no new ones until then, so the idle
 // engine must be the one that changes.
-TEST(RolePlan, ChangesAnEngineThatHasNothingToEnd) {
+TEST(RolePlan, ChangesAnIdleEngine) {
   FleetEndpoints fleet;
   for (int i = 0; i < 12; ++i) {
     const FleetEndpoint engine =
@@ -697,7 +698,7 @@
 
 // Spot engines are cheap: they are ordered first, and on-demand engines are
 // released only once the others suffice without them.
-TEST(ScalePlan, ReplacesDependableEnginesOnceSpotOnesAreThere) {
+TEST(ScalePlan, ReplacesOnDemandEnginesOnceSpotEnginesRun) {
   EnginesByZone now{{kHere, {.on_demand = 6}}, {kThere, {.on_demand = 6}}};
   EnginesByZone plan = PlanScale(now, 12, 12, Bounds(0.2));
   LONGS_EQUAL(6, plan.at(kHere).on_demand);
@@ -713,7 +714,7 @@
 
 // A zone's spot engines are reclaimed and no new ones are available there: the
 // other zone must get them, up to its limit.
-TEST(ScalePlan, OrdersElsewhereWhatAZoneCannotGive) {
+TEST(ScalePlan, OrdersInAnotherZoneWhenSpotIsUnavailable) {
   const EnginesByZone now{{kHere, {.on_demand = 1, .spot_unavailable = true}},
                           {kThere, {.on_demand = 1, .spot = 5}}};
   const EnginesByZone plan = PlanScale(now, 12, 6, Bounds(0.2));
@@ -724,7 +725,7 @@
 
 // Spot engines are reclaimed and unavailable in both zones while the load needs
 // 16 engines: on-demand engines must be ordered, and no more than needed.
-TEST(ScalePlan, OrdersDependableEnginesWhereNoSpotOnesAreToBeHad) {
+TEST(ScalePlan, OrdersOnDemandEnginesWhenSpotIsUnavailable) {
   const EnginesByZone now{{kHere, {.on_demand = 1, .spot_unavailable = true}},
                           {kThere, {.on_demand = 1, .spot_unavailable = true}}};
   const EnginesByZone plan = PlanScale(now, 24, 16, Bounds(0.2));
--- a/tests/fleet_topology_test.cc
+++ b/tests/fleet_topology_test.cc
@@ -276,7 +276,7 @@
 
 // Guards against a linked scheduler that is never chosen because its status
 // arrived before it was listed, or because it was missing from one list.
-TEST(SchedulerChoice, RemembersWhatAnUnlistedSchedulerTold) {
+TEST(SchedulerChoice, KeepsTheStatusOfAnUnlistedScheduler) {
   SchedulerChoice choice(ZoneId("a"));
   choice.OnNews(HostId("s1"), Serving(1));
   CHECK(!choice.Ready());
--- a/tests/gateway_bed.h
+++ b/tests/gateway_bed.h
@@ -174,7 +174,7 @@
 
   // Maximum number of attempts that the dispatcher under test makes per
   // request.
-  static int64_t MostTries() {
+  static int64_t MaxAttempts() {
     return std::getenv(kDispatcherVariable) == nullptr ? 3 : 4;
   }
 
@@ -251,7 +251,7 @@
   std::vector<std::function<void()>> held_token_answers;
   bool hold_tokens = false;
   int64_t charged_tokens = 0;  // charged and not refunded
-  int64_t cancelled_asks = 0;
+  int64_t cancelled_limit_requests = 0;
   LimitRequest last_ask;
 
  private:
@@ -274,50 +274,51 @@
   }
 
   RequestHooks MakeHooks() {
-    return {
-        .claim =
-            [this](const ClaimRequest& claim,
-                   const std::function<void(ClaimResult)>& done) {
-              const auto answer = [this, claim, done] {
-                const bool fresh =
-                    this->claims.emplace(claim.key, claim.request).second;
-                done(fresh ? this->claim_answer : ClaimResult::kTaken);
-              };
-              if (this->hold_claims) {
-                this->held_claims.push_back(answer);
-              } else {
-                answer();
-              }
-            },
-        .release_claim =
-            [this](const RequestId& request) {
-              std::erase_if(this->claims, [&](const auto& each) {
-                return each.second == request;
-              });
-            },
-        .usage =
-            [this](const UsageRecord& record) {
-              this->usage.push_back(record);
-            },
-        .take_tokens =
-            [this](const RequestId&, const LimitRequest& ask,
-                   const std::function<void(const LimitDecision&)>& done) {
-              this->last_ask = ask;
-              const auto answer = [this, cost = ask.cost, done] {
-                const LimitDecision decision = this->token_answer;
-                this->charged_tokens += decision.verdict.granted ? cost : 0;
-                done(decision);
-              };
-              if (this->hold_tokens) {
-                this->held_token_answers.push_back(answer);
-              } else {
-                answer();
-              }
-            },
-        .cancel_tokens = [this](const RequestId&) { ++this->cancelled_asks; },
-        .return_tokens = [this](
-                             const AccountId&, LimitUnit,
-                             int64_t cost) { this->charged_tokens -= cost; }};
+    return {.claim =
+                [this](const ClaimRequest& claim,
+                       const std::function<void(ClaimResult)>& done) {
+                  const auto answer = [this, claim, done] {
+                    const bool fresh =
+                        this->claims.emplace(claim.key, claim.request).second;
+                    done(fresh ? this->claim_answer : ClaimResult::kTaken);
+                  };
+                  if (this->hold_claims) {
+                    this->held_claims.push_back(answer);
+                  } else {
+                    answer();
+                  }
+                },
+            .release_claim =
+                [this](const RequestId& request) {
+                  std::erase_if(this->claims, [&](const auto& each) {
+                    return each.second == request;
+                  });
+                },
+            .usage =
+                [this](const UsageRecord& record) {
+                  this->usage.push_back(record);
+                },
+            .take_tokens =
+                [this](const RequestId&, const LimitRequest& ask,
+                       const std::function<void(const LimitDecision&)>& done) {
+                  this->last_ask = ask;
+                  const auto answer = [this, cost = ask.cost, done] {
+                    const LimitDecision decision = this->token_answer;
+                    this->charged_tokens += decision.verdict.granted ? cost : 0;
+                    done(decision);
+                  };
+                  if (this->hold_tokens) {
+                    this->held_token_answers.push_back(answer);
+                  } else {
+                    answer();
+                  }
+                },
+            .cancel_tokens =
+                [this](const RequestId&) { ++this->cancelled_limit_requests; },
+            .return_tokens =
+                [this](const AccountId&, LimitUnit, int64_t cost) {
+                  this->charged_tokens -= cost;
+                }};
   }
 };
 
--- a/tests/gateway_test.cc
+++ b/tests/gateway_test.cc
@@ -168,7 +168,7 @@
   const StreamText stream = ReadStream(answer.body);
   CHECK(!stream.done);
   STRCMP_EQUAL("broken_answer", stream.error_code.c_str());
-  LONGS_EQUAL(bed.MostTries(), engine.Runs().size());
+  LONGS_EQUAL(bed.MaxAttempts(), engine.Runs().size());
 }
 
 // A connection to an engine stops passing data because a device on the path has
@@ -519,7 +519,7 @@
 
 // A host drains while a stream runs. The stream must finish, new requests must
 // be refused as not run, and only then may the host stop.
-TEST(Gateway, ADrainCutsNobodyOff) {
+TEST(Gateway, ADrainFinishesRunningStreams) {
   FakeEngine engine({.step = std::chrono::milliseconds(5)});
   GatewayBed bed;
   bed.AddEngine("e1", engine.Address());
@@ -835,7 +835,8 @@
   }));
   bed.caller.HangUp();
   CHECK(Eventually([&] {
-    return bed.Ask<int64_t>([&](Gateway&) { return bed.cancelled_asks; }) == 1;
+    return bed.Ask<int64_t>(
+               [&](Gateway&) { return bed.cancelled_limit_requests; }) == 1;
   }));
   bed.task.Call([&] { bed.held_token_answers.front()(); });
   LONGS_EQUAL(0, bed.Charged());
@@ -900,7 +901,7 @@
   LONGS_EQUAL(404, bed.caller.Send(bed.Outgoing("GET", "/nothing")).status);
 }
 
-TEST(Gateway, RemembersWhatWasDecided) {
+TEST(Gateway, RecordsDecisions) {
   FakeEngine engine;
   GatewayBed bed;
   bed.AddEngine("e1", engine.Address());
--- a/tests/lease_release_test.cc
+++ b/tests/lease_release_test.cc
@@ -14,7 +14,7 @@
 
 #include "decisions/duty_tenure.h"
 #include "decisions/lease.h"
-#include "promise_world.h"
+#include "protocol_simulation.h"
 
 namespace hickorystand {
 namespace {
@@ -42,8 +42,8 @@
 
 // A lease and the store, stepped by the test. Transactions can be held back or
 // lose their replies.
-struct HandDriven {
-  HandDriven(const std::string& host, ModelStore& store)
+struct LeaseFixture {
+  LeaseFixture(const std::string& host, ModelStore& store)
       : store(store), lease(OptionsOf(host)) {}
 
   void Tick(double at) {
@@ -117,9 +117,9 @@
 
 TEST_GROUP(LeaseRelease) {
   ModelStore store;
-  HandDriven first{"a", store};
-  HandDriven second{"b", store};
-  HandDriven third{"c", store};
+  LeaseFixture first{"a", store};
+  LeaseFixture second{"b", store};
+  LeaseFixture third{"c", store};
 
   bool HasRelease() const {
     return this->store.Records().contains(ReleaseKey(kGroup));
@@ -127,7 +127,7 @@
 };
 
 // Guards against waiting a full lease length after an orderly stop.
-TEST(LeaseRelease, TellsTheNextHolderItsWait) {
+TEST(LeaseRelease, PassesTheWaitToTheNextHolder) {
   first.Tick(0);
   CHECK(first.lease.MayAct(At(0.1)));
   CHECK(!first.lease.Released());
@@ -306,9 +306,9 @@
 // Simulates hosts that acquire and release a lease in virtual time, the network
 // between them and the store, and a platform that logs the arriving calls.
 // Messages arrive within a lease's length of being sent, or never.
-class ReleaseWorld {
+class ReleaseSimulation {
  public:
-  ReleaseWorld(uint64_t seed, Mutation mutation)
+  ReleaseSimulation(uint64_t seed, Mutation mutation)
       : random(seed), mutation(mutation) {
     for (int number = 0; number < 4; ++number) {
       this->hosts.push_back(std::make_unique<Host>());
@@ -325,7 +325,7 @@
       this->events.pop();
       this->now = event.at;
       event.run();
-      this->CheckOneActs();
+      this->CheckAtMostOneActs();
     }
   }
 
@@ -404,7 +404,7 @@
         this->Restart(host);
         return;
       }
-      this->TickAlive(host);
+      this->TickRunning(host);
       if (host.run == run) {
         this->After(milliseconds(100),
                     [this, &host, run] { this->Tick(host, run); });
@@ -412,7 +412,7 @@
     });
   }
 
-  void TickAlive(Host& host) {
+  void TickRunning(Host& host) {
     const Instant clock = this->ClockOf(host);
     this->RunLeaseEvent(host,
                         [&](auto& out) { host.lease->OnTick(clock, out); });
@@ -537,7 +537,7 @@
     this->last_arrival = this->now;
   }
 
-  void CheckOneActs() {
+  void CheckAtMostOneActs() {
     const auto acting = std::ranges::count_if(
         this->hosts, [this](const auto& host) { return this->MayAct(*host); });
     if (acting > 1) {
@@ -656,7 +656,7 @@
 SearchResult Search(uint64_t seeds, const Mutation& mutation) {
   SearchResult found;
   for (uint64_t seed = 1; seed <= seeds; ++seed) {
-    ReleaseWorld world(seed, mutation);
+    ReleaseSimulation world(seed, mutation);
     world.Run();
     if (found.first.empty() && !world.violations.empty()) {
       found.first =
--- a/tests/limits_test.cc
+++ b/tests/limits_test.cc
@@ -292,7 +292,7 @@
         }
       });
   LONGS_EQUAL(0, world.Tally(kSmall).refused);
-  CHECK(world.MostIn(kBig, kWindow) <= Allowed(Limit(400000)));
+  CHECK(world.MaxCostInWindow(kBig, kWindow) <= Allowed(Limit(400000)));
   CHECK(world.Tally(kBig).admitted_cost >= 0.97 * 400000 * 10);
 }
 
@@ -355,7 +355,7 @@
     world.HealAll();
     OfferEvenly(world, kBig, 7.5 * 400000, 9200, 12,
                 [](int n) { return n % 6; });
-    CHECK(world.MostIn(kBig, kWindow) <= Allowed(Limit(400000)));
+    CHECK(world.MaxCostInWindow(kBig, kWindow) <= Allowed(Limit(400000)));
   }
 }
 
@@ -372,7 +372,7 @@
 }
 
 // Guards against additional tokens with each restart of a host.
-TEST(AccountLimiter, RestartsBringNoTokens) {
+TEST(AccountLimiter, RestartsCreateNoTokens) {
   LimitWorld world(World(6));
   world.Start();
   OfferEvenly(
@@ -384,7 +384,7 @@
           ++next;
         }
       });
-  CHECK(world.MostIn(kBig, kWindow) <= Allowed(Limit(400000)));
+  CHECK(world.MaxCostInWindow(kBig, kWindow) <= Allowed(Limit(400000)));
 }
 
 TEST(AccountLimiter, ALoweredLimitBindsAndARaisedOneIsServed) {
@@ -397,7 +397,7 @@
   }
   world.ResetTallies();
   OfferEvenly(world, kBig, 400000, 9200, 10, [](int n) { return n % 6; });
-  CHECK(world.MostIn(kBig, kWindow) <= Allowed(Limit(400000)));
+  CHECK(world.MaxCostInWindow(kBig, kWindow) <= Allowed(Limit(400000)));
   CHECK(world.Tally(kBig).admitted_cost <= 100000 * 2 + Allowed(Limit(100000)));
   for (int host = 0; host < 6; ++host) {
     world.SetLimits(host, {{kBig, Limit(800000)}});
@@ -457,12 +457,12 @@
     }
     world.Run(kWindow);
   }
-  CHECK(world.MostIn(added, kWindow) <= Allowed(Limit(100000)));
+  CHECK(world.MaxCostInWindow(added, kWindow) <= Allowed(Limit(100000)));
 }
 
 // Guards against tokens that are spent on a request that didn't run, and
 // against tokens that are returned twice.
-TEST(AccountLimiter, WhatWasNotRunIsGivenBack) {
+TEST(AccountLimiter, TokensOfRequestsThatDidNotRunAreReturned) {
   LimitWorld world(World(3));
   world.Start();
   OfferEvenly(world, kBig, 10 * 400000, 9200, 1, [](int) { return 0; });
@@ -493,7 +493,7 @@
 }
 
 // Guards against refused callers that all retry at the same time.
-TEST(AccountLimiter, RefusedRequestsAreToldDifferentTimes) {
+TEST(AccountLimiter, RefusedRequestsGetDifferentRetryTimes) {
   AccountLimiter limiter(HostId("a"));
   const Instant now(std::chrono::seconds(10));
   limiter.SetLimits(now, Limits());
@@ -515,7 +515,7 @@
 namespace {
 
 // Injects random faults while accounts send far more than their limits allow.
-void PlayFaults(LimitWorld& world, std::mt19937& random, int hosts) {
+void InjectFaults(LimitWorld& world, std::mt19937& random, int hosts) {
   const auto any = [&random](int below) {
     return std::uniform_int_distribution<>(0, below - 1)(random);
   };
@@ -592,9 +592,9 @@
   options.late = seed % 7 == 0 ? 0.05 : 0;
   LimitWorld world(options);
   world.Start();
-  PlayFaults(world, random, hosts);
+  InjectFaults(world, random, hosts);
   for (const auto& [account, limit] : Limits()) {
-    RC_ASSERT(world.MostIn(account, kWindow) <= Allowed(limit));
+    RC_ASSERT(world.MaxCostInWindow(account, kWindow) <= Allowed(limit));
   }
 }
 
--- a/tests/matrix.cc
+++ b/tests/matrix.cc
@@ -21,7 +21,7 @@
 #include <vector>
 
 #include "kernel/log.h"
-#include "promise_world.h"
+#include "protocol_simulation.h"
 
 namespace hickorystand {
 namespace {
@@ -96,7 +96,7 @@
     for (const Step second : {Step::kPlatformSend, Step::kReportSend}) {
       cells.push_back(
           {{.step = Step::kPlatformSend, .fault = static_cast<Fault>(fault)},
-           {.step = second, .fault = Fault::kPauseInside}});
+           {.step = second, .fault = Fault::kPauseAfterCheck}});
     }
   }
   return cells;
@@ -107,12 +107,13 @@
   int64_t run = 0;
   int64_t passed = 0;
   int64_t red = 0;
-  int64_t stuck = 0;      // red without a violation: no recovery
-  int64_t unreached = 0;  // a fault was not injected: its step was not reached
-  std::string first_red;
+  int64_t stuck = 0;  // red without a violation: no recovery
+  int64_t not_reached =
+      0;  // a fault was not injected: its step was not reached
+  std::string first_violation;
 };
 
-bool IsRed(const WorldReport& report) {
+bool HasFailed(const WorldReport& report) {
   return !report.violations.empty() || !report.recovered;
 }
 
@@ -139,14 +140,14 @@
       const WorldReport report = world.Run();
       const std::scoped_lock lock(mutex);
       ++tally.run;
-      ++(IsRed(report) ? tally.red : tally.passed);
-      tally.stuck += IsRed(report) && report.violations.empty() ? 1 : 0;
-      tally.unreached += report.struck < std::ssize(cells[i]) ? 1 : 0;
-      if (!report.violations.empty() && tally.first_red.empty()) {
-        tally.first_red =
+      ++(HasFailed(report) ? tally.red : tally.passed);
+      tally.stuck += HasFailed(report) && report.violations.empty() ? 1 : 0;
+      tally.not_reached += report.struck < std::ssize(cells[i]) ? 1 : 0;
+      if (!report.violations.empty() && tally.first_violation.empty()) {
+        tally.first_violation =
             report.violations.front() + " (" + CellName(cells[i]) + ")";
       }
-      if (print && IsRed(report)) {
+      if (print && HasFailed(report)) {
         std::printf("RED %zu: %s\n", i, Describe(cells[i], report).c_str());
       }
     }
@@ -165,7 +166,7 @@
       "violation %ld)  a fault not reached in %ld\n",
       std::string(name).c_str(), static_cast<long>(tally.run),
       static_cast<long>(tally.passed), static_cast<long>(tally.red),
-      static_cast<long>(tally.stuck), static_cast<long>(tally.unreached));
+      static_cast<long>(tally.stuck), static_cast<long>(tally.not_reached));
 }
 
 // Returns whether switching off each mechanism violates an invariant; otherwise
@@ -183,7 +184,7 @@
     all_found = all_found && found > 0;
     std::printf("%-34s %3ld cells  %s\n", std::string(mutation.name).c_str(),
                 static_cast<long>(found),
-                found > 0 ? tally.first_red.c_str() : "NOT FOUND");
+                found > 0 ? tally.first_violation.c_str() : "NOT FOUND");
   }
   return all_found;
 }
@@ -203,7 +204,7 @@
       static_cast<long>(report.windows), static_cast<long>(report.filings),
       static_cast<long>(report.served), static_cast<long>(report.reported),
       static_cast<long>(report.store_calls));
-  return IsRed(report) ? 1 : 0;
+  return HasFailed(report) ? 1 : 0;
 }
 
 int RunMatrix(bool pairs) {
--- a/tests/membership_test.cc
+++ b/tests/membership_test.cc
@@ -58,8 +58,8 @@
   Instant now{seconds(1000)};
   Membership members{{.self = Host("b"), .incarnation = 5}};
 
-  void Hear(const std::string& id, uint64_t incarnation = 1,
-            bool leaving = false) {
+  void ReceiveMessage(const std::string& id, uint64_t incarnation = 1,
+                      bool leaving = false) {
     this->members.OnHostMessage(this->now, HostId(id), kHere, incarnation,
                                 leaving);
   }
@@ -70,7 +70,7 @@
 };
 
 TEST(Membership, SilenceMakesSuspectedThenGone) {
-  this->Hear("a");
+  this->ReceiveMessage("a");
   CHECK(this->State("a") == HostState::kLive);
   this->now += seconds(4);
   CHECK(this->State("a") == HostState::kSuspected);
@@ -81,12 +81,12 @@
 
 // The platform's list still contains a host that died a minute ago. It must not
 // hold a watch or be a deputy, though links to it are still attempted.
-TEST(Membership, AListedHostThatIsSilentIsTrustedWithNothing) {
+TEST(Membership, AListedSilentHostIsNotEligible) {
   this->members.OnHostList(this->now, List({Host("a"), Host("c")}));
   CHECK((Ids(this->members.EligibleHosts(this->now, kHere)) ==
          Texts{"a", "b", "c"}));
   this->now += seconds(60);
-  this->Hear("c");
+  this->ReceiveMessage("c");
   CHECK(this->State("a") == HostState::kSuspected);
   CHECK(
       (Ids(this->members.EligibleHosts(this->now, kHere)) == Texts{"b", "c"}));
@@ -98,11 +98,11 @@
 // be sent to a process that is about to end.
 TEST(Membership, LeavingIsFinalWithinAnIncarnation) {
   this->members.OnHostList(this->now, List({Host("a")}));
-  this->Hear("a", 1, true);
-  this->Hear("a", 1, false);
+  this->ReceiveMessage("a", 1, true);
+  this->ReceiveMessage("a", 1, false);
   this->members.OnHostList(this->now, List({Host("a")}));
   CHECK(this->State("a") == HostState::kLeaving);
-  this->Hear("a", 2, false);
+  this->ReceiveMessage("a", 2, false);
   CHECK(this->State("a") == HostState::kLive);
 }
 
@@ -120,12 +120,12 @@
 // outdated for a while, which must not exclude the new process.
 TEST(Membership, ALaggingListDoesNotMarkTheNextIncarnation) {
   this->members.OnHostList(this->now, List({Host("a")}));
-  this->Hear("a", 1);
+  this->ReceiveMessage("a", 1);
   auto list = List({Host("a")});
   list.front().leaving = true;
   this->members.OnHostList(this->now, list);
   CHECK(this->State("a") == HostState::kLeaving);
-  this->Hear("a", 2);
+  this->ReceiveMessage("a", 2);
   this->members.OnHostList(this->now, list);
   CHECK(this->State("a") == HostState::kLive);
 }
@@ -134,7 +134,7 @@
 // return there, so it is gone as soon as it is silent.
 TEST(Membership, AHostReplacedUnderItsAddressIsForgotten) {
   this->members.OnHostList(this->now, List({Host("a", kHere, 7000)}));
-  this->Hear("a");
+  this->ReceiveMessage("a");
   this->now += seconds(4);
   this->members.OnHostList(this->now, List({Host("z", kHere, 7000)}));
   CHECK(this->State("a") == HostState::kGone);
@@ -166,17 +166,17 @@
 
 // A host whose link fails repeatedly would become representative and lose the
 // rank again each time, and watches would move back and forth with it.
-TEST(Membership, AFlappingHostIsTrustedWithNothing) {
+TEST(Membership, AFlappingHostIsNotEligible) {
   for (int i = 0; i < 3; ++i) {
-    this->Hear("a");
+    this->ReceiveMessage("a");
     this->members.OnLinkDown(this->now, HostId("a"));
     this->now += seconds(2);
   }
-  this->Hear("a");
+  this->ReceiveMessage("a");
   CHECK(this->State("a") == HostState::kLive);
   CHECK((Ids(this->members.EligibleHosts(this->now, kHere)) == Texts{"b"}));
   this->now += seconds(60);
-  this->Hear("a");
+  this->ReceiveMessage("a");
   CHECK(
       (Ids(this->members.EligibleHosts(this->now, kHere)) == Texts{"a", "b"}));
 }
@@ -299,7 +299,7 @@
   CHECK(this->table.Out(this->endpoint));
 }
 
-TEST(EndpointStatusTable, DownEndsWhenItIsTakenBackOrItsTellerIsGone) {
+TEST(EndpointStatusTable, DownEndsWhenItIsWithdrawnOrItsReporterIsLost) {
   this->table.OnNews(this->a, this->MakeStatus(3, false, true));
   this->table.OnNews(this->b, this->MakeStatus(3, false, true));
   this->table.OnNews(this->a, std::vector<EndpointNews>{});
--- a/tests/peer_group_test.cc
+++ b/tests/peer_group_test.cc
@@ -17,7 +17,7 @@
 namespace hickorystand {
 namespace {
 
-constexpr Duration kGenerous = std::chrono::seconds(30);
+constexpr Duration kWaitTimeout = std::chrono::seconds(30);
 
 // One host, which sends its digest periodically.
 class GroupHost {
@@ -66,7 +66,7 @@
 
   // Waits until a condition on the host's task holds.
   bool WaitFor(const std::function<bool(PeerGroup&)>& holds) {
-    const Instant end = this->clock.Now() + kGenerous;
+    const Instant end = this->clock.Now() + kWaitTimeout;
     bool held = false;
     while (!held && this->clock.Now() < end) {
       this->Do([&](PeerGroup& group) { held = holds(group); });
@@ -120,7 +120,7 @@
 
 // The summary digest that a host has of all other data centres, under whichever
 // id; null if none.
-const Digest* Elsewhere(const GroupHost& host) {
+const Digest* RemoteSummary(const GroupHost& host) {
   for (const auto& [id, digest] : host.heard) {
     if (id.Text().starts_with("elsewhere/")) {
       return &digest;
@@ -129,8 +129,8 @@
   return nullptr;
 }
 
-int64_t RequestsElsewhere(const GroupHost& host) {
-  const Digest* digest = Elsewhere(host);
+int64_t RemoteRequests(const GroupHost& host) {
+  const Digest* digest = RemoteSummary(host);
   return digest == nullptr || digest->outstanding.empty()
              ? 0
              : digest->outstanding.front().requests;
@@ -140,7 +140,7 @@
 
 TEST_GROUP(PeerGroup){};
 
-TEST(PeerGroup, EveryHostHearsOfDistantWork) {
+TEST(PeerGroup, EveryHostReceivesDistantWork) {
   Fleet fleet;
   for (const std::string id : {"b1", "b2"}) {
     fleet[id].Do([&](PeerGroup&) {
@@ -150,7 +150,7 @@
   }
   for (const std::string id : {"a1", "a2", "a3"}) {
     CHECK(fleet[id].WaitFor(
-        [&](PeerGroup&) { return RequestsElsewhere(fleet[id]) == 4; }));
+        [&](PeerGroup&) { return RemoteRequests(fleet[id]) == 4; }));
   }
 }
 
@@ -160,8 +160,8 @@
 TEST(PeerGroup, ALeavingEndpointIsOutInAllDataCentres) {
   Fleet fleet;
   for (const auto& [id, host] : fleet.hosts) {
-    CHECK(
-        host->WaitFor([&](PeerGroup&) { return Elsewhere(*host) != nullptr; }));
+    CHECK(host->WaitFor(
+        [&](PeerGroup&) { return RemoteSummary(*host) != nullptr; }));
   }
   const EndpointNews news{
       .endpoint = EndpointId("e7"), .incarnation = 1, .leaving = true};
@@ -182,14 +182,14 @@
         {.endpoint = EndpointId("e1"), .prompt_tokens = 64, .requests = 3}};
   });
   CHECK(fleet["a3"].WaitFor(
-      [&](PeerGroup&) { return RequestsElsewhere(fleet["a3"]) == 3; }));
+      [&](PeerGroup&) { return RemoteRequests(fleet["a3"]) == 3; }));
   fleet.hosts.erase("a1");
   CHECK(
       fleet["a2"].WaitFor([](PeerGroup& group) { return group.Rank() == 0; }));
   CHECK(fleet["a3"].WaitFor([&](PeerGroup&) {
     return fleet["a3"].heard.contains(HostId("elsewhere/a2")) &&
            !fleet["a3"].heard.contains(HostId("elsewhere/a1")) &&
-           RequestsElsewhere(fleet["a3"]) == 3;
+           RemoteRequests(fleet["a3"]) == 3;
   }));
 }
 
--- a/tests/peers_test.cc
+++ b/tests/peers_test.cc
@@ -23,7 +23,7 @@
 namespace hickorystand {
 namespace {
 
-constexpr Duration kGenerous = std::chrono::seconds(30);
+constexpr Duration kWaitTimeout = std::chrono::seconds(30);
 constexpr const char* kSecret = "secret";
 
 // One host with its own task, and a record of what it received.
@@ -100,7 +100,7 @@
   // Waits until a condition on this host's counters holds.
   bool WaitForStats(const std::function<bool(const PeerStats&)>& holds) {
     BootClock boot;
-    const Instant end = boot.Now() + kGenerous;
+    const Instant end = boot.Now() + kWaitTimeout;
     while (boot.Now() < end) {
       if (holds(this->Stats())) {
         return true;
@@ -121,7 +121,7 @@
   // Waits until a condition on what this host received holds.
   bool WaitFor(const std::function<bool()>& holds) {
     std::unique_lock lock(this->mutex);
-    return this->changed.wait_for(lock, kGenerous, holds);
+    return this->changed.wait_for(lock, kWaitTimeout, holds);
   }
 
   bool WaitForLink(const std::string& host) {
--- a/tests/platform_test.cc
+++ b/tests/platform_test.cc
@@ -204,7 +204,7 @@
   LONGS_EQUAL(2, read.records.size());
 }
 
-TEST(EtcdStore, LeaseTakesItsRecordsAlong) {
+TEST(EtcdStore, RevokedLeaseRemovesItsRecords) {
   Fixture f;
   const auto lease = f.store->GrantLease(std::chrono::seconds(60));
   CHECK(lease.has_value());
@@ -356,7 +356,7 @@
 
 // The service stops while the watch is open. The watch must report its end
 // exactly once, so that its owner reads the records again.
-TEST(EtcdWatch, TellsOnceThatItWasCut) {
+TEST(EtcdWatch, ReportsItsEndOnce) {
   Fixture f;
   WatchLog log(*f.store, "/c/", 1);
   CHECK(Eventually([&] { return f.service.Calls().watches_waiting == 1; }));
@@ -464,7 +464,7 @@
   CHECK(bench.Order("o1", 2, 7) == PlatformOutcome::kAccepted);
   CHECK(bench.Order("o1", 2, 8) == PlatformOutcome::kAccepted);
   LONGS_EQUAL(1, bench.platform.Orders().size());
-  LONGS_EQUAL(0, bench.platform.Offences().Sum());
+  LONGS_EQUAL(0, bench.platform.Violations().Sum());
 }
 
 // Guards against two holders' orders side by side: a coordinator is paused
@@ -502,11 +502,11 @@
   bench.Report(1, 5, 8);
   bench.Report(1, 6, 8);
   bench.Report(2, 1, 6);
-  CHECK((fakes::PlatformOffences{.changed_orders = 1,
-                                 .deposed_orders = 1,
-                                 .changed_reports = 1,
-                                 .deposed_reports = 1}) ==
-        bench.platform.Offences());
+  CHECK((fakes::PlatformViolations{.conflicting_orders = 1,
+                                   .stale_orders = 1,
+                                   .conflicting_reports = 1,
+                                   .stale_reports = 1}) ==
+        bench.platform.Violations());
 }
 
 TEST(PlatformClient, ReadsTheHostList) {
@@ -526,9 +526,9 @@
 TEST_GROUP(EtcdMessages){};
 
 TEST(EtcdMessages, EndOfPrefixIsTheNextKey) {
-  STRCMP_EQUAL("/b", EndOfPrefix("/a").c_str());
-  STRCMP_EQUAL("b", EndOfPrefix("a\xff").c_str());
-  CHECK(EndOfPrefix("") == std::string(1, '\0'));
+  STRCMP_EQUAL("/b", PrefixRangeEnd("/a").c_str());
+  STRCMP_EQUAL("b", PrefixRangeEnd("a\xff").c_str());
+  CHECK(PrefixRangeEnd("") == std::string(1, '\0'));
 }
 
 TEST(EtcdMessages, GarbageIsNoReply) {
--- a/tests/policy_bench_test.cc
+++ b/tests/policy_bench_test.cc
@@ -40,7 +40,7 @@
   scenario.seconds = kSeconds;
   scenario.report_lag = 5;
   scenario.zone_lost = {20, 50};
-  scenario.cut_off = {30, 60};
+  scenario.partitioned = {30, 60};
   for (const Strategy& strategy : AllStrategies()) {
     const RunFigures figures = RunShort(strategy, scenario);
     LONGS_EQUAL(0, figures.once_run_twice);
--- a/tests/policy_parts_test.cc
+++ b/tests/policy_parts_test.cc
@@ -10,7 +10,7 @@
 #include <string>
 
 #include "decisions/placement.h"
-#include "policy_bed.h"
+#include "policy_fixture.h"
 
 namespace hickorystand {
 namespace {
@@ -26,7 +26,9 @@
 // Serves `rounds` requests from a queue to which each round adds one request of
 // the small account and `flood` of the large one. Returns how many of the
 // served requests belonged to the small account.
-int64_t ServeContended(const AdmissionOptions& options, int rounds, int flood) {
+int64_t CountSmallAccountServed(const AdmissionOptions& options,
+                                int rounds,
+                                int flood) {
   Admission admission(options);
   admission.OnConfiguration(*TwoAccounts());
   int64_t next = 0;
@@ -49,7 +51,9 @@
   return small;
 }
 
-EndpointId ChosenBy(Router& router, const Request& request, double second) {
+EndpointId ChooseEndpoint(Router& router,
+                          const Request& request,
+                          double second) {
   return router.Choose(At(second), {.request = &request})
       .value_or(Route())
       .endpoint;
@@ -103,13 +107,13 @@
 // One account sends nine times as much as the other. First come, first served
 // would give the small account only a tenth of the capacity.
 TEST(Admission, FloodDoesNotStarveTheSmallAccount) {
-  LONGS_EQUAL(50, ServeContended({.idle_credit_tokens = 0}, 100, 9));
-  CHECK(ServeContended({.fair = false}, 100, 9) <= 11);
+  LONGS_EQUAL(50, CountSmallAccountServed({.idle_credit_tokens = 0}, 100, 9));
+  CHECK(CountSmallAccountServed({.fair = false}, 100, 9) <= 11);
 }
 
 // An account is idle for hours. If its unused share accumulated without bound,
 // it could then starve all other accounts for a long time.
-TEST(Admission, IdleAccountSavesUpLittle) {
+TEST(Admission, CreditOfAnIdleAccountIsBounded) {
   Admission admission({.idle_credit_tokens = 3000});
   admission.OnConfiguration(*TwoAccounts());
   int64_t next = 0;
@@ -162,7 +166,7 @@
 
 // Batch requests wait while interactive requests keep arriving. Without aging
 // the batch queue starves.
-TEST(Admission, BatchWorkArrives) {
+TEST(Admission, BatchWorkIsNotStarved) {
   for (const bool aging : {true, false}) {
     Admission admission({.age_batch = aging});
     admission.OnConfiguration(*TwoAccounts());
@@ -237,7 +241,7 @@
         router.OnLoad(At(0), report);
       }
       const Request request = MakeRequest("r" + std::to_string(host));
-      sent[ChosenBy(router, request, 0)] += 1;
+      sent[ChooseEndpoint(router, request, 0)] += 1;
     }
     const int most = std::ranges::max(sent | std::views::values);
     CHECK(among_equals ? most <= 4 : most == 8);
@@ -260,11 +264,11 @@
     router.OnEnded(At(i), slow, AttemptOutcome::kComplete, 0, false, false);
   }
   for (int i = 0; i < 20; ++i) {
-    CHECK(EndpointId("e2") == ChosenBy(router, request, 10));
+    CHECK(EndpointId("e2") == ChooseEndpoint(router, request, 10));
   }
 }
 
-void BreakThreeTimes(Router& router, const EndpointId& endpoint) {
+void FailThreeAttempts(Router& router, const EndpointId& endpoint) {
   const Request request = MakeRequest("broken");
   for (int i = 0; i < 3; ++i) {
     router.OnSent(endpoint, request, {.endpoint = endpoint}, false);
@@ -281,7 +285,7 @@
   router.OnConfiguration(*configuration);
   const Request request = MakeRequest("r");
   const EndpointId only("e1");
-  BreakThreeTimes(router, only);
+  FailThreeAttempts(router, only);
   CHECK(!router.Choose(At(1), {.request = &request}));
   const auto probe = router.Choose(At(3), {.request = &request});
   CHECK(probe && probe->probe);
@@ -303,7 +307,7 @@
         FleetBuilder().WithAccount("a").WithEndpoints(endpoints).Build();
     Router router({.data_centre = kHere});
     router.OnConfiguration(*configuration);
-    BreakThreeTimes(router, EndpointId("e1"));
+    FailThreeAttempts(router, EndpointId("e1"));
     CHECK_EQUAL(endpoints == 2,
                 router.Choose(At(1), {.request = &once}).has_value());
     for (int i = 0; i < 20; ++i) {
@@ -321,7 +325,7 @@
 // A request that failed at one of two endpoints is retried at the other. If
 // there is only one endpoint it is retried there; otherwise one broken
 // connection would make the service unavailable.
-TEST(Router, WhereARequestFailedItGoesAgainOnlyIfThereIsNoOther) {
+TEST(Router, RetryAvoidsTheFailedEndpointIfThereIsAnother) {
   const Request request = MakeRequest("r");
   const EndpointId failed("e1");
   for (const int endpoints : {1, 2}) {
@@ -341,7 +345,7 @@
 
 // A cache event is lost. Until the next snapshot the view counts only half;
 // otherwise requests would be routed to prefixes that were evicted.
-TEST(PrefixCache, GapMakesTheViewUnsure) {
+TEST(PrefixCache, LostEventHalvesTheHitShare) {
   PrefixCache cache;
   cache.Apply({.incarnation = 1, .sequence = 1, .added = {1, 2, 3, 4}});
   DOUBLES_EQUAL(1, cache.HitShare({1, 2, 3, 4}), 0.001);
@@ -366,7 +370,7 @@
 
 // A zone is reclaimed and two of its endpoints stop at once. The requests on
 // them are not the cause and must not be refused after the next crash.
-TEST(Suspects, LostZoneAccusesNobody) {
+TEST(Suspects, LostZoneRaisesNoSuspicion) {
   Suspects suspects;
   suspects.OnCrash(At(0), ZoneId("z"), {1, 2, 3});
   CHECK(suspects.IsSuspected(At(0), 1));
@@ -435,7 +439,7 @@
 
 // Load falls at night. Endpoints are released, but each data centre keeps
 // enough that losing one cheap zone does not take it below its minimum.
-TEST(Placement, GivesBackDownToWhatOutlivesAZone) {
+TEST(Placement, ReleasesEndpointsDownToTheMinimum) {
   Planner planner(kModel, Rates());
   std::vector<EndpointState> endpoints = Engines(18, EndpointRole::kMixed);
   for (size_t i = 0; i < endpoints.size(); ++i) {
--- a/tests/policy_properties_test.cc
+++ b/tests/policy_properties_test.cc
@@ -13,7 +13,7 @@
 #include <string>
 #include <vector>
 
-#include "policy_bed.h"
+#include "policy_fixture.h"
 
 namespace hickorystand {
 namespace {
@@ -23,9 +23,9 @@
 
 // Simulates gateway, endpoints, peers and callers with random events, and
 // records which requests are open and how often filings may have run.
-class RandomWorld {
+class RandomSimulation {
  public:
-  explicit RandomWorld(uint64_t seed)
+  explicit RandomSimulation(uint64_t seed)
       : random(seed),
         configuration(FleetBuilder()
                           .WithAccount("a")
@@ -59,7 +59,7 @@
     int64_t generated = 0;
   };
 
-  static bool MayHaveLeft(AttemptOutcome outcome) {
+  static bool MayHaveArrived(AttemptOutcome outcome) {
     return outcome != AttemptOutcome::kNotSent &&
            outcome != AttemptOutcome::kRefused;
   }
@@ -73,7 +73,7 @@
         break;
       case 3:
       case 4:
-        this->EndOne();
+        this->EndRandomAttempt();
         break;
       case 5:
         this->Progress();
@@ -100,7 +100,7 @@
   void End(AttemptId attempt, AttemptOutcome outcome) {
     const Running running = this->running.at(attempt);
     this->running.erase(attempt);
-    if (running.once && MayHaveLeft(outcome)) {
+    if (running.once && MayHaveArrived(outcome)) {
       this->once_sends[running.request] += 1;
     }
     this->Take(this->dispatcher->OnResult(
@@ -109,7 +109,7 @@
                         .generated_tokens = running.generated}));
   }
 
-  void EndOne() {
+  void EndRandomAttempt() {
     if (this->running.empty()) {
       return;
     }
@@ -215,7 +215,7 @@
 TEST(PolicyProperties, EveryRequestEndsOnceAndFilingsRunAtMostOnce) {
   const bool held = rc::check(
       "every request ends once; filings run at most once", [](uint64_t seed) {
-        RandomWorld world(seed);
+        RandomSimulation world(seed);
         world.Run();
         RC_ASSERT(world.consistent);
         RC_ASSERT(world.open.empty());
--- a/tests/policy_test.cc
+++ b/tests/policy_test.cc
@@ -8,7 +8,7 @@
 #include <string>
 
 #include "kernel/registry.h"
-#include "policy_bed.h"
+#include "policy_fixture.h"
 
 namespace hickorystand {
 
@@ -114,7 +114,7 @@
 
 // An operator drains an endpoint and a peer learns of it first. Requests that
 // this host still sends there are interrupted when the endpoint stops.
-TEST(Policy, NewsOfAPeerStopsWorkForALeavingEndpoint) {
+TEST(Policy, PeerDigestStopsWorkForALeavingEndpoint) {
   auto dispatcher =
       MakeDispatcher(FleetBuilder().WithAccount("a").WithEndpoints(2).Build());
   dispatcher->OnDigest(At(0),
@@ -133,7 +133,7 @@
 // A delayed report of an endpoint's previous incarnation says that it is
 // leaving. Applied to the current incarnation, it would keep a restarted
 // endpoint without work permanently.
-TEST(Policy, LateNewsOfAnOldLifeDoesNotCondemnTheNewOne) {
+TEST(Policy, LateReportOfAnOldIncarnationIsIgnored) {
   auto dispatcher =
       MakeDispatcher(FleetBuilder().WithAccount("a").WithEndpoints(1).Build());
   LoadReport leaving = MakeReport("e1", 1, 2);
--- a/tests/promises.cmake
+++ b/tests/promises.cmake
@@ -1,4 +1,4 @@
-add_library(promise_world STATIC tests/promise_world.cc tests/promise_host.cc)
+add_library(promise_world STATIC tests/protocol_simulation.cc tests/simulated_host.cc)
 target_link_libraries(promise_world PUBLIC hs_decisions)
 target_include_directories(promise_world PUBLIC tests)
 
--- a/tests/promise_world.cc
+++ b/tests/protocol_simulation.cc
@@ -1,11 +1,11 @@
-#include "promise_world.h"
+#include "protocol_simulation.h"
 
 #include <algorithm>
 #include <numeric>
 #include <ranges>
 #include <utility>
 
-#include "promise_host.h"
+#include "simulated_host.h"
 
 namespace hickorystand {
 namespace {
@@ -17,12 +17,12 @@
 constexpr Duration kShortPause = seconds(3);
 constexpr Duration kReplacedAfter = seconds(6);
 constexpr Duration kRestartedAfter = seconds(2);
-constexpr Duration kListLag = seconds(3);
-constexpr Duration kRoleChange = milliseconds(1500);
-constexpr Duration kQuietBefore = seconds(25);
+constexpr Duration kHostListDelay = seconds(3);
+constexpr Duration kRoleChangeTime = milliseconds(1500);
+constexpr Duration kSettleTime = seconds(25);
 constexpr Instant kFirstFault = Instant(seconds(8));
 constexpr size_t kMaxValue = 1'000'000;
-constexpr int64_t kFilingTries = 6;
+constexpr int64_t kMaxFilingAttempts = 6;
 
 // Clocks that run slow or fast and start at different offsets.
 constexpr std::array kClocks = {
@@ -206,25 +206,26 @@
   if (busy) {
     this->world.Violation("an endpoint received conflicting orders");
   }
-  if (fencing < this->highest_effect) {
+  if (fencing < this->highest_effective_fencing) {
     this->world.Violation("an order of a former holder took effect");
   }
-  this->world.CheckStands(order);
-  this->highest_effect = std::max(this->highest_effect, fencing);
+  this->world.CheckOrderRecorded(order);
+  this->highest_effective_fencing =
+      std::max(this->highest_effective_fencing, fencing);
   this->known.insert(order.id);
   this->running = order.id;
-  this->busy_until = now + kRoleChange;
+  this->busy_until = now + kRoleChangeTime;
   ++this->effects;
   return OrderReply::kRunning;
 }
 
 // If a message with a lower fencing number was sent after one with a higher
 // number had been received, two hosts acted as lease holder at the same time.
-void ModelPlatform::CheckSender(Heard& heard,
-                                Instant now,
-                                Instant sent,
-                                int64_t fencing,
-                                const std::string& what) {
+void ModelPlatform::CheckSingleSender(Heard& heard,
+                                      Instant now,
+                                      Instant sent,
+                                      int64_t fencing,
+                                      const std::string& what) {
   if (fencing < heard.fencing && sent > heard.since) {
     this->world.Violation("the platform received " + what +
                           " from two hosts that both act as holder");
@@ -238,17 +239,18 @@
                                  Instant sent,
                                  const Order& order,
                                  int64_t fencing) {
-  this->CheckSender(this->orders_heard, now, sent, fencing, "endpoint orders");
+  this->CheckSingleSender(this->last_order_sender, now, sent, fencing,
+                          "endpoint orders");
   if (this->tokens.insert(order.id).second) {
-    this->world.CheckStands(order);
+    this->world.CheckOrderRecorded(order);
   }
 }
 
 void ModelPlatform::ReceiveReport(Instant now,
                                   Instant sent,
                                   const SendUsageReport& report) {
-  this->CheckSender(this->reports_heard[report.window], now, sent,
-                    report.fencing, "a usage window");
+  this->CheckSingleSender(this->last_report_senders[report.window], now, sent,
+                          report.fencing, "a usage window");
   const auto [known, fresh] =
       this->windows.emplace(report.window, report.figures);
   if (!fresh && known->second != report.figures) {
@@ -272,13 +274,13 @@
     this->world.Violation("a filing ran twice");
   }
   this->ran.insert(request);
-  if (this->told_not_run.contains(request)) {
+  if (this->refused_as_not_run.contains(request)) {
     this->world.Violation("a request ran that was refused as not run");
   }
 }
 
-void ModelFilings::ToldNotRun(const RequestId& request) {
-  this->told_not_run.insert(request);
+void ModelFilings::OnRefusedAsNotRun(const RequestId& request) {
+  this->refused_as_not_run.insert(request);
   if (this->ran.contains(request)) {
     this->world.Violation("a request was refused as not run after it ran");
   }
@@ -314,7 +316,7 @@
   };
   this->Every(milliseconds(50), each_host(&ModelHost::Tick));
   this->Every(seconds(1), each_host(&ModelHost::Exchange));
-  this->Every(milliseconds(1300), [this] { this->Race(); });
+  this->Every(milliseconds(1300), [this] { this->ProposeConflictingOrders(); });
   this->Every(seconds(1), [this] { this->PublishHosts(); });
   this->Every(milliseconds(400), [this] { this->SendFilings(); });
   this->After(this->options.drain_at, [this] {
@@ -340,8 +342,8 @@
   const Instant end = Instant(this->options.length);
   int64_t orders_before = 0;
   int64_t windows_before = 0;
-  this->After(this->options.length - kQuietBefore, [&] { this->quiet = true; });
-  this->After(this->options.length - kQuietBefore / 2, [&] {
+  this->After(this->options.length - kSettleTime, [&] { this->quiet = true; });
+  this->After(this->options.length - kSettleTime / 2, [&] {
     orders_before =
         this->endpoints[0]->Effects() + this->endpoints[1]->Effects();
     windows_before = this->platform.Effects();
@@ -393,7 +395,7 @@
 // An order that takes effect must be in the stored record at that moment, so
 // that the current holder takes it into account. A copy that a former holder
 // sent in time can then arrive late without harm.
-void World::CheckStands(const Order& order) {
+void World::CheckOrderRecorded(const Order& order) {
   const auto record =
       this->store.Records().find(OrderRecordKey(DataCentreId("dc")));
   const Result<OrderRecord> content = DecodeOrderRecord(
@@ -414,7 +416,7 @@
       least.count(), most.count())(this->random));
 }
 
-std::optional<Duration> World::Travel() {
+std::optional<Duration> World::NetworkDelay() {
   if (this->Chance(this->options.loss)) {
     return std::nullopt;
   }
@@ -435,7 +437,7 @@
   ++this->report.struck;
   this->Apply(fault, host);
   // Guarded sends apply this pause themselves, after their lease check.
-  if (fault == Fault::kPauseInside && !kGuardedSteps.contains(step)) {
+  if (fault == Fault::kPauseAfterCheck && !kGuardedSteps.contains(step)) {
     this->After({}, [&host] { host.Pause(kFaultLength); });
   }
   return fault;
@@ -468,11 +470,11 @@
     case Fault::kPause:
       host.Pause(kFaultLength);
       break;
-    case Fault::kCutStore:
-      host.cut_store_until = until;
+    case Fault::kStorePartition:
+      host.store_partition_until = until;
       break;
-    case Fault::kCutPeers:
-      host.cut_peers_until = until;
+    case Fault::kPeerPartition:
+      host.peer_partition_until = until;
       break;
     case Fault::kStoreSlow:
       this->store.slow_until = until;
@@ -480,15 +482,15 @@
     case Fault::kStoreDown:
       this->store.down_until = until;
       break;
-    case Fault::kOperatorRace:
-      this->Race();
+    case Fault::kConflictingOrders:
+      this->ProposeConflictingOrders();
       break;
     case Fault::kEndpointCrash:
       std::ranges::for_each(this->endpoints,
                             [](const auto& each) { each->Crash(); });
       break;
     case Fault::kNone:
-    case Fault::kPauseInside:
+    case Fault::kPauseAfterCheck:
     case Fault::kReplyLost:
       break;
   }
@@ -507,14 +509,14 @@
       listed.push_back({.host = host->Id(), .leaving = host->Draining()});
     }
   }
-  this->After(kListLag, [this, listed] {
+  this->After(kHostListDelay, [this, listed] {
     for (size_t i = 0; i < this->hosts.size(); ++i) {
       this->hosts[i]->OnHosts(listed);
     }
   });
 }
 
-void World::Race() {
+void World::ProposeConflictingOrders() {
   for (size_t i = 0; i < this->hosts.size(); ++i) {
     this->hosts[i]->Propose();
   }
@@ -535,7 +537,7 @@
 // A caller that retries: unless its filing is done it sends it again through
 // another host, also without an answer, and sometimes even when it is done.
 void World::File(const std::string& key, int64_t tries) {
-  if (tries >= kFilingTries) {
+  if (tries >= kMaxFilingAttempts) {
     return;
   }
   const RequestId request("r" + std::to_string(++this->last_request));
@@ -543,7 +545,7 @@
   this->AnyHost().File(
       request, key, [this, key, tries, request, answered](FilingAnswer answer) {
         if (answer == FilingAnswer::kNotRun) {
-          this->filings.ToldNotRun(request);
+          this->filings.OnRefusedAsNotRun(request);
         }
         if (!std::exchange(*answered, true) &&
             (answer != FilingAnswer::kDone || this->Chance(0.2))) {
--- a/tests/promise_world.h
+++ b/tests/protocol_simulation.h
@@ -68,19 +68,19 @@
 // The faults. "The host" is the one that reached the step.
 enum class Fault {
   kNone,
-  kKill,           // the host dies before the step and is replaced
-  kKillAfter,      // the host dies after it sent the step's message
-  kRestart,        // the host dies and restarts under the same id
-  kPauseShort,     // the process pauses for less than the lease length
-  kPause,          // the process pauses until its lease has expired
-  kPauseInside,    // kPause between the lease check and the send
-  kCutStore,       // the host can't reach the store
-  kCutPeers,       // no messages between the host and its peers
-  kStoreSlow,      // store calls may take effect after their timeout
-  kStoreDown,      // store calls are refused
-  kReplyLost,      // the step takes effect, but its reply is lost
-  kOperatorRace,   // every host proposes a conflicting order now
-  kEndpointCrash,  // all endpoints restart and lose what they are running
+  kKill,               // the host dies before the step and is replaced
+  kKillAfter,          // the host dies after it sent the step's message
+  kRestart,            // the host dies and restarts under the same id
+  kPauseShort,         // the process pauses for less than the lease length
+  kPause,              // the process pauses until its lease has expired
+  kPauseAfterCheck,    // kPause between the lease check and the send
+  kStorePartition,     // the host can't reach the store
+  kPeerPartition,      // no messages between the host and its peers
+  kStoreSlow,          // store calls may take effect after their timeout
+  kStoreDown,          // store calls are refused
+  kReplyLost,          // the step takes effect, but its reply is lost
+  kConflictingOrders,  // every host proposes a conflicting order now
+  kEndpointCrash,      // all endpoints restart and lose what they are running
 };
 constexpr int kFaults = static_cast<int>(Fault::kEndpointCrash) + 1;
 
@@ -187,7 +187,8 @@
   OrderId running;
   Instant busy_until{};
   int64_t effects = 0;
-  int64_t highest_effect = 0;  // for the check only, so kept over restarts
+  int64_t highest_effective_fencing =
+      0;  // for the check only, so kept over restarts
 };
 
 // Model of the platform. It does not check fencing numbers; tokens make repeats
@@ -212,16 +213,16 @@
     int64_t fencing = 0;
     Instant since{};
   };
-  void CheckSender(Heard& heard,
-                   Instant now,
-                   Instant sent,
-                   int64_t fencing,
-                   const std::string& what);
+  void CheckSingleSender(Heard& heard,
+                         Instant now,
+                         Instant sent,
+                         int64_t fencing,
+                         const std::string& what);
 
   World& world;
   std::set<OrderId> tokens;
-  Heard orders_heard;
-  std::map<int64_t, Heard> reports_heard;
+  Heard last_order_sender;
+  std::map<int64_t, Heard> last_report_senders;
   std::map<int64_t, AccountUsage> windows;
 };
 
@@ -231,14 +232,14 @@
  public:
   explicit ModelFilings(World& world) : world(world) {}
   void Receive(const std::string& key, const RequestId& request);
-  void ToldNotRun(const RequestId& request);
+  void OnRefusedAsNotRun(const RequestId& request);
   int64_t Filed() const { return std::ssize(this->filed); }
 
  private:
   World& world;
   std::map<std::string, int64_t> filed;
   std::set<RequestId> ran;
-  std::set<RequestId> told_not_run;
+  std::set<RequestId> refused_as_not_run;
 };
 
 class ModelHost;
@@ -284,12 +285,12 @@
   Instant Now() const { return this->now; }
   void After(Duration delay, std::function<void()> event);
   void Violation(const std::string& what);
-  void CheckStands(const Order& order);
+  void CheckOrderRecorded(const Order& order);
   Fault Strike(Step step, ModelHost& host);
   bool Chance(double probability);
   Duration Between(Duration least, Duration most);
   // Returns the network delay of a message, or nullopt if it is lost.
-  std::optional<Duration> Travel();
+  std::optional<Duration> NetworkDelay();
 
   const WorldOptions options;
   ModelStore store;
@@ -304,7 +305,7 @@
   void Every(Duration period, const std::function<void()>& event);
   void AddHost(const HostId& id, uint64_t incarnation);
   void PublishHosts();
-  void Race();
+  void ProposeConflictingOrders();
   void SendFilings();
   void File(const std::string& key, int64_t tries);
   ModelHost& AnyHost();
