--- a/tests/replica_test.cc
+++ b/tests/replica_test.cc
@@ -27,7 +27,7 @@
 
 // Simulates one data centre: hosts h0, h1 and so on, of which the first two
 // watch the service.
-class Bed {
+class ReplicaFleet {
  public:
   struct Host {
     std::unique_ptr<ConfigurationReplica> replica;
@@ -38,7 +38,7 @@
     bool deaf = false;  // does not answer fetches
   };
 
-  explicit Bed(int hosts, ReplicaOptions options = {})
+  explicit ReplicaFleet(int hosts, ReplicaOptions options = {})
       : options(std::move(options)) {
     for (int i = 0; i < hosts; ++i) {
       this->Restart(i);
@@ -105,20 +105,20 @@
   }
 
   // Restores the service from a backup.
-  void PutBack(const KeyValueState& backup) {
+  void RestoreBackup(const KeyValueState& backup) {
     this->store = backup;
     for (auto& [index, host] : this->hosts) {
       host.watched = std::min(host.watched, backup.Revision());
     }
   }
 
-  bool AllAt(int64_t revision) const {
+  bool AllAtRevision(int64_t revision) const {
     return std::ranges::all_of(this->hosts, [&](const auto& item) {
       return item.second.replica->Revision() == revision;
     });
   }
 
-  bool AllKnow(const std::string& account) const {
+  bool AllHaveAccount(const std::string& account) const {
     return std::ranges::all_of(this->hosts, [&](const auto& item) {
       const auto& configuration = item.second.replica->InForce();
       return configuration &&
@@ -136,11 +136,11 @@
 
   Instant now = Instant(seconds(1000));
   KeyValueState store;
-  bool down = false;          // the service does not answer
-  bool watch_silent = false;  // watches deliver no events and no error
-  bool peers_cut = false;     // digests and fetches are lost
+  bool down = false;            // the service does not answer
+  bool watches_silent = false;  // watches deliver no events and no error
+  bool peers_cut = false;       // digests and fetches are lost
   int64_t head_reads = 0;
-  int64_t whole_reads = 0;
+  int64_t full_reads = 0;
   bool reverted = false;  // a host's revision decreased
   std::map<int, Host> hosts;
 
@@ -166,7 +166,7 @@
                     });
         break;
       case Kind::kReadAll:
-        ++this->whole_reads;
+        ++this->full_reads;
         this->Later(
             index,
             [this, reply = this->Read(ReadConfigurationTransaction().then[0])](
@@ -239,7 +239,7 @@
   // Delivers changes to each watch, or its loss while the service is down.
   void Feed() {
     for (auto& [index, host] : this->hosts) {
-      if (!host.watching || this->watch_silent) {
+      if (!host.watching || this->watches_silent) {
         continue;
       }
       if (this->down) {
@@ -269,21 +269,21 @@
 TEST_GROUP(Replica){};
 
 TEST(Replica, ChangeIsInForceEverywhereWithinTwoSeconds) {
-  Bed bed(6);
+  ReplicaFleet bed(6);
   CHECK(bed.AddAccount("a").has_value());
   bed.Run(seconds(3));
-  CHECK(bed.AllAt(1));
-  const int64_t reads = bed.whole_reads;
+  CHECK(bed.AllAtRevision(1));
+  const int64_t reads = bed.full_reads;
   CHECK(bed.AddAccount("b").has_value());
   bed.Run(seconds(2));
-  CHECK(bed.AllAt(2));
-  CHECK(bed.AllKnow("b"));
+  CHECK(bed.AllAtRevision(2));
+  CHECK(bed.AllHaveAccount("b"));
   // Hosts without a watch fetch the change from peers.
-  LONGS_EQUAL(reads, bed.whole_reads);
+  LONGS_EQUAL(reads, bed.full_reads);
 }
 
 TEST(Replica, AnswersAPeerWithNoMoreThanWhatItLacks) {
-  Bed bed(1);
+  ReplicaFleet bed(1);
   for (int i = 0; i < 20; ++i) {
     CHECK(bed.AddAccount("a" + std::to_string(i)).has_value());
   }
@@ -297,20 +297,20 @@
 // its peers have the same dead connection, so no digest announces the change.
 // The periodic read of the head by each watching host must detect it.
 TEST(Replica, NoticesASilentWatchByReadingHead) {
-  Bed bed(3);
+  ReplicaFleet bed(3);
   CHECK(bed.AddAccount("a").has_value());
   bed.Run(seconds(3));
-  bed.watch_silent = true;
+  bed.watches_silent = true;
   CHECK(bed.AddAccount("b").has_value());
   bed.Run(seconds(7));
-  CHECK(bed.AllKnow("b"));
+  CHECK(bed.AllHaveAccount("b"));
 }
 
 // All hosts are replaced during a platform outage. Until it ends no host can
 // know any key. Afterwards all must load the configuration without an operator,
 // and must not keep reading it all at the same moment.
 TEST(Replica, ComesBackAfterAllRestartedDuringAnOutage) {
-  Bed bed(5);
+  ReplicaFleet bed(5);
   CHECK(bed.AddAccount("a").has_value());
   bed.Run(seconds(3));
   bed.down = true;
@@ -318,41 +318,41 @@
     bed.Restart(i);
   }
   bed.Run(seconds(60));
-  CHECK(bed.AllAt(0));
+  CHECK(bed.AllAtRevision(0));
   CHECK(!bed.hosts[0].replica->KeysTrusted(bed.now));
   bed.down = false;
   bed.Run(seconds(8));
-  CHECK(bed.AllKnow("a"));
+  CHECK(bed.AllHaveAccount("a"));
   CHECK(bed.hosts[4].replica->KeysTrusted(bed.now));
 }
 
 // One host is replaced during a platform outage. It must take the configuration
 // from its peers instead of waiting for the platform.
 TEST(Replica, RestartedHostLearnsFromPeersDuringAnOutage) {
-  Bed bed(3);
+  ReplicaFleet bed(3);
   CHECK(bed.AddAccount("a").has_value());
   bed.Run(seconds(3));
   bed.down = true;
   bed.Restart(0);
   bed.Run(seconds(3));
-  CHECK(bed.AllKnow("a"));
+  CHECK(bed.AllHaveAccount("a"));
 }
 
 // A peer announces the new revision and then does not answer fetches, for
 // example because it is paused. The other hosts must not wait for it.
 TEST(Replica, PassesOverAPeerThatDoesNotAnswer) {
-  Bed bed(4);
+  ReplicaFleet bed(4);
   bed.hosts[0].deaf = true;
   bed.hosts[1].deaf = true;
   CHECK(bed.AddAccount("a").has_value());
   bed.Run(seconds(4));
-  CHECK(bed.AllKnow("a"));
+  CHECK(bed.AllHaveAccount("a"));
 }
 
 // A host resumes after a pause of an hour and offers its old revision in
 // digests and answers. No host may revert to it.
-TEST(Replica, StalePeerBringsNothingBack) {
-  Bed bed(2);
+TEST(Replica, StalePeerIsIgnored) {
+  ReplicaFleet bed(2);
   CHECK(bed.AddAccount("a").has_value());
   bed.Run(seconds(2));
   const auto stale = bed.hosts[1].replica->ValuesAbove(0);
@@ -368,13 +368,13 @@
 // The service is restored from last night's backup. Accounts created and keys
 // revoked since then would silently be undone on every host that reads it
 // again. The lower revision must be refused, counted, and shown.
-void RestoreOlder(Bed& bed) {
+void RestoreOlderBackup(ReplicaFleet& bed) {
   CHECK(bed.AddAccount("a").has_value());
   bed.Run(seconds(3));
   const KeyValueState backup = bed.store;
   CHECK(bed.AddAccount("b").has_value());
   bed.Run(seconds(3));
-  bed.PutBack(backup);
+  bed.RestoreBackup(backup);
   bed.down = true;  // a restore disconnects the clients
   bed.Run(seconds(1));
   bed.down = false;
@@ -382,21 +382,21 @@
 }
 
 TEST(Replica, RefusesAServicePutBackToABackup) {
-  Bed bed(3);
-  RestoreOlder(bed);
-  CHECK(bed.AllAt(2));
-  CHECK(bed.AllKnow("b"));
+  ReplicaFleet bed(3);
+  RestoreOlderBackup(bed);
+  CHECK(bed.AllAtRevision(2));
+  CHECK(bed.AllHaveAccount("b"));
   CHECK(!bed.reverted);
   CHECK(bed.LowerIgnored() > 0);
   // A restarted host does not stay at the backup's revision either.
   bed.Restart(0);
   bed.Run(seconds(5));
-  CHECK(bed.AllAt(2));
+  CHECK(bed.AllAtRevision(2));
 }
 
 TEST(Replica, WouldRevertWithoutRefusingLowerRevisions) {
-  Bed bed(3, {.reject_lower = false});
-  RestoreOlder(bed);
+  ReplicaFleet bed(3, {.reject_lower = false});
+  RestoreOlderBackup(bed);
   CHECK(bed.reverted);
 }
 
@@ -405,7 +405,7 @@
 // numbers of the two histories are consistent but the contents differ, so that
 // an account created before the restore would stay on some hosts permanently.
 // The hosts must read the whole state.
-void Fork(Bed& bed) {
+void DivergeAfterRestore(ReplicaFleet& bed) {
   CHECK(bed.AddAccount("a").has_value());
   bed.Run(seconds(3));
   const KeyValueState backup = bed.store;
@@ -421,18 +421,18 @@
 }
 
 TEST(Replica, TakesAForkAsAWholeOnceItIsHigher) {
-  Bed bed(3);
-  Fork(bed);
-  CHECK(bed.AllAt(3));
-  CHECK(bed.AllKnow("c"));
+  ReplicaFleet bed(3);
+  DivergeAfterRestore(bed);
+  CHECK(bed.AllAtRevision(3));
+  CHECK(bed.AllHaveAccount("c"));
   for (const auto& [index, host] : bed.hosts) {
     CHECK(!host.replica->InForce()->accounts.contains(AccountId("lost")));
   }
 }
 
 TEST(Replica, WouldMixAForkWithoutComparingHistories) {
-  Bed bed(3, {.check_history = false});
-  Fork(bed);
+  ReplicaFleet bed(3, {.check_history = false});
+  DivergeAfterRestore(bed);
   CHECK(std::ranges::any_of(bed.hosts, [](const auto& item) {
     return item.second.replica->InForce()->accounts.contains(AccountId("lost"));
   }));
@@ -442,7 +442,7 @@
 // serving known keys only for the time limit of its site, so that a key revoked
 // meanwhile stops working although nothing can reach the hosts.
 TEST(Replica, TrustsKeysForTheLimitOnlyWhileCutOff) {
-  Bed bed(3);
+  ReplicaFleet bed(3);
   CHECK(bed.AddAccount("a").has_value());
   bed.Run(seconds(30));
   bed.down = true;
@@ -459,7 +459,7 @@
 
 // No change is made for a long time, such as a day. Keys must stay trusted.
 TEST(Replica, StaysTrustedWhileNothingChanges) {
-  Bed bed(3);
+  ReplicaFleet bed(3);
   CHECK(bed.AddAccount("a").has_value());
   bed.Run(seconds(600));
   for (const auto& [index, host] : bed.hosts) {
@@ -470,7 +470,7 @@
 // Values that are not a valid configuration must be ignored, whichever peer
 // sends them.
 TEST(Replica, IgnoresBrokenValues) {
-  Bed bed(1);
+  ReplicaFleet bed(1);
   CHECK(bed.AddAccount("a").has_value());
   bed.Run(seconds(2));
   auto& replica = *bed.hosts[0].replica;
@@ -488,7 +488,7 @@
 // partitions between peers, restarts, peers that do not answer, restores from a
 // backup. Then all faults end, and an operator makes one more change with a
 // revision above the highest in force, as hickoryctl does.
-void RunHourOfFaults(uint32_t seed, Bed& bed) {
+void RunHourOfFaults(uint32_t seed, ReplicaFleet& bed) {
   std::mt19937 random(seed);
   const auto chance = [&](uint32_t one_in) { return random() % one_in == 0; };
   KeyValueState backup = bed.store;
@@ -497,7 +497,7 @@
       static_cast<void>(bed.AddAccount("a" + std::to_string(second)));
     }
     bed.down = chance(60) ? !bed.down : bed.down;
-    bed.watch_silent = chance(40) ? !bed.watch_silent : bed.watch_silent;
+    bed.watches_silent = chance(40) ? !bed.watches_silent : bed.watches_silent;
     bed.peers_cut = chance(60) ? !bed.peers_cut : bed.peers_cut;
     if (chance(120)) {
       bed.Restart(static_cast<int>(random() % 4));
@@ -508,11 +508,11 @@
       backup = bed.store;
     }
     if (chance(900)) {
-      bed.PutBack(backup);
+      bed.RestoreBackup(backup);
     }
     bed.Run(seconds(1));
   }
-  bed.down = bed.watch_silent = bed.peers_cut = false;
+  bed.down = bed.watches_silent = bed.peers_cut = false;
   for (auto& [index, host] : bed.hosts) {
     host.deaf = false;
   }
@@ -533,15 +533,15 @@
 TEST(Replica, SurvivesAnHourOfAllFaults) {
   constexpr uint32_t kRuns = 6;
   for (uint32_t seed = 1; seed <= kRuns; ++seed) {
-    Bed bed(4);
+    ReplicaFleet bed(4);
     RunHourOfFaults(seed, bed);
-    CHECK(bed.AllKnow("last"));
+    CHECK(bed.AllHaveAccount("last"));
     CHECK(!bed.reverted);
   }
 }
 
 TEST(Replica, HourOfFaultsRevertsWithoutRefusingLowerRevisions) {
-  Bed bed(4, {.reject_lower = false});
+  ReplicaFleet bed(4, {.reject_lower = false});
   RunHourOfFaults(1, bed);
   CHECK(bed.reverted);
 }
--- a/tests/request_trace_test.cc
+++ b/tests/request_trace_test.cc
@@ -172,7 +172,7 @@
       "\"502 the ingress host stops\", by host0 as scheduler. Sent to run at "
       "e0, e1, e2.",
       trace.Outcome().c_str());
-  const auto stays = trace.Stays();
+  const auto stays = trace.TimeByPlace();
   LONGS_EQUAL(4, stays.size());
   STRCMP_EQUAL("at endpoint e0", stays.at(2).first.c_str());
   LONGS_EQUAL(5737, stays.at(2).second);
@@ -200,7 +200,7 @@
 
 // Guards against the answer to an earlier attempt reported as the outcome of a
 // repeat, and against a "not run" that hides what an earlier attempt sent.
-TEST(RequestTrace, TellsTriesApart) {
+TEST(RequestTrace, DistinguishesAttempts) {
   const auto direct = [](const std::string& time, const std::string& status) {
     std::string line = kSecondLog;
     const auto set = [&line](const std::string& from, const std::string& to) {
@@ -225,20 +225,20 @@
 // Guards against memory that grows with the input.
 TEST(RequestTrace, BoundsWhatItKeeps) {
   std::string log;
-  for (size_t i = 0; i < RequestTrace::kMostEntries; ++i) {
+  for (size_t i = 0; i < RequestTrace::kMaxEntries; ++i) {
     log += kCanceledLog;
   }
   const size_t lines =
       static_cast<size_t>(std::ranges::count(std::string(kCanceledLog), '\n')) *
-      RequestTrace::kMostEntries;
+      RequestTrace::kMaxEntries;
   const std::string overlong = R"({"time":"s3-131)" +
-                               std::string(RequestTrace::kLongestLine, 'x') +
+                               std::string(RequestTrace::kMaxLineBytes, 'x') +
                                "\"}\n";
   const RequestTrace trace = TraceOf("s3-131", {{"h", overlong + log}});
-  LONGS_EQUAL(RequestTrace::kMostEntries, trace.Entries().size());
-  LONGS_EQUAL(lines - RequestTrace::kMostEntries, trace.Dropped());
-  CHECK((trace.Foreign() ==
-         std::vector<ForeignLines>{{.input = "h", .count = 1, .first = 1}}));
+  LONGS_EQUAL(RequestTrace::kMaxEntries, trace.Entries().size());
+  LONGS_EQUAL(lines - RequestTrace::kMaxEntries, trace.Dropped());
+  CHECK((trace.Skipped() ==
+         std::vector<SkippedLines>{{.input = "h", .count = 1, .first = 1}}));
 }
 
 TEST_GROUP(WhyByLogs){};
--- a/tests/promise_host.cc
+++ b/tests/simulated_host.cc
@@ -1,4 +1,4 @@
-#include "promise_host.h"
+#include "simulated_host.h"
 
 #include <algorithm>
 #include <cassert>
@@ -131,7 +131,7 @@
   if (!this->alive || this->paused) {
     return;
   }
-  this->CheckBelief();
+  this->CheckLeaseHeld();
   if (!this->world.quiet && !this->draining) {
     this->meter.Add(AccountId("big"), {.prompt_tokens = 10, .requests = 1});
     ++this->world.report.served;
@@ -143,7 +143,7 @@
   ClaimActions claimed;
   this->claims.OnTick(this->Clock(), claimed);
   this->Do(claimed);
-  this->CheckBelief();
+  this->CheckLeaseHeld();
   if (this->draining && this->coordinator.Released() && this->pending.empty()) {
     this->Exchange();  // sends the final usage copy
     this->alive = false;
@@ -157,7 +157,7 @@
   const std::vector<UsageCopy> copies = this->coordinator.Usage().Copies();
   const HostId id = this->id;
   const uint64_t incarnation = this->incarnation;
-  this->TellPeers([copies, id, incarnation](ModelHost& peer) {
+  this->SendToPeers([copies, id, incarnation](ModelHost& peer) {
     std::ranges::for_each(copies, [&peer](const UsageCopy& copy) {
       peer.coordinator.OnUsage(copy);
     });
@@ -167,11 +167,11 @@
   });
 }
 
-void ModelHost::TellPeers(const std::function<void(ModelHost&)>& message) {
+void ModelHost::SendToPeers(const std::function<void(ModelHost&)>& message) {
   for (const auto& peer : this->world.hosts) {
-    const std::optional<Duration> travel = this->world.Travel();
-    const bool cut = this->world.Now() < this->cut_peers_until ||
-                     this->world.Now() < peer->cut_peers_until;
+    const std::optional<Duration> travel = this->world.NetworkDelay();
+    const bool cut = this->world.Now() < this->peer_partition_until ||
+                     this->world.Now() < peer->peer_partition_until;
     if (peer.get() != this && peer->Alive() && travel && !cut) {
       ModelHost* receiver = peer.get();
       this->world.After(*travel, [receiver, message] {
@@ -226,7 +226,7 @@
 
 // The invariant on which all others rest: whenever MayAct() is true, the host
 // holds the lease in the store.
-void ModelHost::CheckBelief() {
+void ModelHost::CheckLeaseHeld() {
   const int64_t fencing = this->coordinator.Authority().Fencing();
   if (this->coordinator.MayAct(this->Clock(), fencing) &&
       !this->world.store.LeaseStands(this->world.Now(), LeaseKey(kDataCentre),
@@ -390,7 +390,7 @@
 }
 
 void ModelHost::Run(const SendReleaseNotice& action) {
-  this->TellPeers([release = action.release](ModelHost& peer) {
+  this->SendToPeers([release = action.release](ModelHost& peer) {
     peer.Tell([&](CoordinatorActions& wanted) {
       peer.coordinator.OnReleased(peer.Clock(), release, wanted);
     });
@@ -415,7 +415,7 @@
   this->Leave([this, fault, apply, refused, unknown, answer] {
     World& world = this->world;
     world.After(kCallTimeout, [answer, unknown] { answer(unknown); });
-    if (world.Now() < this->cut_store_until) {
+    if (world.Now() < this->store_partition_until) {
       return;
     }
     if (world.Now() < world.store.down_until) {
@@ -455,15 +455,15 @@
       settle(Reply::kNotSent);
       return;
     }
-    this->CheckBelief();
-    if (fault == Fault::kPauseInside) {
+    this->CheckLeaseHeld();
+    if (fault == Fault::kPauseAfterCheck) {
       this->Pause(kLongPause);
     }
     this->Leave([this, fault, answer, connected, receive, settle] {
       World& world = this->world;
       const Instant sent = world.Now();
       world.After(kReplyTimeout, [settle] { settle(Reply::kNoReply); });
-      const std::optional<Duration> travel = world.Travel();
+      const std::optional<Duration> travel = world.NetworkDelay();
       if (!travel) {
         return;
       }
@@ -530,7 +530,7 @@
     return;
   }
   this->claims.Forget(request);
-  if (fault == Fault::kPauseInside) {
+  if (fault == Fault::kPauseAfterCheck) {
     this->Pause(kLongPause);
   }
   const auto settle = [this, request](FilingAnswer answer) {
@@ -544,7 +544,7 @@
   this->Leave([this, request, key, fault, settle] {
     World& world = this->world;
     world.After(kReplyTimeout, [settle] { settle(FilingAnswer::kUnknown); });
-    const std::optional<Duration> travel = world.Travel();
+    const std::optional<Duration> travel = world.NetworkDelay();
     if (!travel) {
       return;
     }
--- a/tests/promise_host.h
+++ b/tests/simulated_host.h
@@ -16,7 +16,7 @@
 #include <string>
 #include <vector>
 
-#include "promise_world.h"
+#include "protocol_simulation.h"
 
 namespace hickorystand {
 
@@ -56,8 +56,8 @@
   bool Draining() const { return this->draining; }
   bool Holds() const { return this->alive && this->coordinator.Ready(); }
 
-  Instant cut_store_until{};
-  Instant cut_peers_until{};
+  Instant store_partition_until{};
+  Instant peer_partition_until{};
 
  private:
   Instant Clock() const;
@@ -97,8 +97,8 @@
                    const std::function<bool()>& connected,
                    const std::function<Reply(Instant sent)>& receive,
                    const std::function<void(Reply)>& done);
-  void CheckBelief();
-  void TellPeers(const std::function<void(ModelHost&)>& message);
+  void CheckLeaseHeld();
+  void SendToPeers(const std::function<void(ModelHost&)>& message);
 
   struct Filing {
     std::string key;
--- a/tests/soak.cc
+++ b/tests/soak.cc
@@ -17,7 +17,7 @@
 #include <cxxopts.hpp>
 
 #include "kernel/log.h"
-#include "promise_world.h"
+#include "protocol_simulation.h"
 
 namespace hickorystand {
 namespace {
--- a/tests/stop_decisions_test.cc
+++ b/tests/stop_decisions_test.cc
@@ -42,7 +42,7 @@
 
 // Guards against refusing requests that the load balancer still sends, though
 // their responses end in time.
-TEST(StopSchedule, TakesWhatEndsInTime) {
+TEST(StopSchedule, AcceptsRequestsThatEndInTime) {
   const auto stop = StopSchedule::From(kStart, seconds(8));
   CHECK(stop.MayAccept(kStart, {.limit = seconds(15), .expected = seconds(5)}));
   CHECK(stop.MayAccept(kStart + seconds(2),
@@ -51,7 +51,7 @@
 }
 
 // Guards against responses that are cut when the process ends.
-TEST(StopSchedule, RefusesWhatMayOutlastIt) {
+TEST(StopSchedule, RefusesRequestsThatMayOutlastIt) {
   const auto stop = StopSchedule::From(kStart, seconds(8));
   CHECK(!stop.MayAccept(kStart, {.limit = seconds(15)}));
   CHECK(
@@ -63,7 +63,7 @@
 
 // Guards against accepting requests on an estimate alone when callers have
 // already had the time to move to another host.
-TEST(StopSchedule, NeedsCertaintyAfterTheTimeForTakingRequests) {
+TEST(StopSchedule, IgnoresEstimatesAfterTheAcceptPeriod) {
   const auto stop = StopSchedule::From(kStart, seconds(8));
   const AnswerDuration need{.limit = seconds(15), .expected = milliseconds(10)};
   CHECK(stop.MayAccept(stop.accept_until - milliseconds(1), need));
@@ -86,7 +86,7 @@
 TEST_GROUP(AnswerTimes){};
 
 // Guards against estimates from a few unusually fast responses.
-TEST(AnswerTimes, TellsWhatNearlyAllAnswersStayBelow) {
+TEST(AnswerTimes, ReportsThe95thPercentile) {
   AnswerTimes times;
   const auto kind = AnswerKind::Of("r", 100);
   const Instant now =
--- a/tests/usage_test.cc
+++ b/tests/usage_test.cc
@@ -26,7 +26,7 @@
 // A copy of a host's counters arrives twice and an older one arrives late. If
 // the copies were added up, the account would be billed for work that was never
 // done.
-TEST(Usage, CopiesHeardTwiceOrOutOfOrderCountOnce) {
+TEST(Usage, RepeatedAndReorderedCopiesCountOnce) {
   UsageLedger ledger;
   for (const int64_t requests : {5, 9, 9, 7}) {
     ledger.Merge(CopyOf(requests));
