--- a/bench/limit_world.cc
+++ b/bench/limit_world.cc
@@ -168,8 +168,8 @@
   });
   this->CallStore(number);
   host.limiter->SetPeers(this->now, this->Linked(number));
-  host.limiter->SetShare(this->now, host.shares->Own(this->now),
-                         host.shares->Each());
+  host.limiter->SetShare(this->now, host.shares->OwnShare(this->now),
+                         host.shares->HolderShare());
   this->SendRevision(number);
   if (this->options.counting) {
     const auto counts = host.counter->TakeCounts();
@@ -432,17 +432,17 @@
   }
 }
 
-void LimitWorld::GiveBack(int number, const AccountId& account, int64_t cost) {
+void LimitWorld::Refund(int number, const AccountId& account, int64_t cost) {
   Host& host = this->At(number);
   if (host.up && !host.frozen) {
-    host.limiter->GiveBack(this->now, account, cost);
+    host.limiter->Refund(this->now, account, cost);
     this->Flush(number);
   }
 }
 
 double LimitWorld::Own(int number) const {
   const Host& host = this->At(number);
-  return host.up ? host.shares->Own(this->now) : 0;
+  return host.up ? host.shares->OwnShare(this->now) : 0;
 }
 
 double LimitWorld::OwnSum() const {
--- a/bench/limit_world.h
+++ b/bench/limit_world.h
@@ -108,7 +108,7 @@
   void Thaw(int host);
   void SetScheduler(int host, bool schedules);
   void SetLimits(int host, const AccountLimits& limits);
-  void GiveBack(int host, const AccountId& account, int64_t cost);
+  void Refund(int host, const AccountId& account, int64_t cost);
 
   // The store doesn't answer, or applies writes but loses the answers.
   void SetStoreDown(bool down) { this->store_down = down; }
--- a/bench/policy_baselines.cc
+++ b/bench/policy_baselines.cc
@@ -29,7 +29,7 @@
 
   DispatchList OnArrival(Instant now, const Request& request) override {
     this->live[request.id] = {.request = request};
-    if (request.request_class == RequestClass::kOnce) {
+    if (request.request_class == RequestClass::kAtMostOnce) {
       return {{.kind = DispatchKind::kClaim, .request = request.id}};
     }
     return this->Send(now, request.id);
@@ -70,7 +70,7 @@
     this->failed_until[attempt.endpoint] = now + kAvoidFailed;
     const bool not_run = result.outcome == AttemptOutcome::kNotSent ||
                          result.outcome == AttemptOutcome::kRefused;
-    if (one.request.request_class == RequestClass::kOnce && !not_run) {
+    if (one.request.request_class == RequestClass::kAtMostOnce && !not_run) {
       return this->Refuse(attempt.request, ErrorKind::kOutcomeUnknown);
     }
     return one.tries < kMaxTries
@@ -146,7 +146,7 @@
     const auto report = this->reports.find(endpoint.id);
     const bool leaving =
         report != this->reports.end() && report->second.leaving;
-    const bool once = request.request_class == RequestClass::kOnce;
+    const bool once = request.request_class == RequestClass::kAtMostOnce;
     return endpoint.service == request.service && !leaving &&
            !(once && endpoint.cheap) && this->failed_until[endpoint.id] <= now;
   }
@@ -289,9 +289,10 @@
              &MakeWithout<[](PolicyOptions& policy) {
                policy.router.use_peer_digests = false;
              }>},
-    Strategy{
-        "no-fit", RolePolicy::kPlanner, true,
-        &MakeWithout<[](PolicyOptions& policy) { policy.router.fit = 1e9; }>},
+    Strategy{"no-fit", RolePolicy::kPlanner, true,
+             &MakeWithout<[](PolicyOptions& policy) {
+               policy.router.max_fit_ratio = 1e9;
+             }>},
     Strategy{"no-equals", RolePolicy::kPlanner, true,
              &MakeWithout<[](PolicyOptions& policy) {
                policy.router.choose_among_equals = false;
--- a/bench/policy_fleet.cc
+++ b/bench/policy_fleet.cc
@@ -408,7 +408,7 @@
       }
       for (const AttemptId attempt : node.engine.AttemptsOf(host)) {
         node.engine.Cancel(host, attempt);
-        this->Answer(host, attempt, AttemptOutcome::kSilent, kStreamTimeout);
+        this->Answer(host, attempt, AttemptOutcome::kStalled, kStreamTimeout);
       }
     }
   }
@@ -638,7 +638,7 @@
     figures.good += IsGood(arrival, caller.first_token, caller.done);
     figures.refused += caller.ended && caller.done < 0;
     figures.once_run_twice +=
-        request_class == RequestClass::kOnce && caller.runs > 1;
+        request_class == RequestClass::kAtMostOnce && caller.runs > 1;
     figures.batch_lost += request_class == RequestClass::kBatch &&
                           caller.ended && caller.done < 0;
     if (request_class == RequestClass::kInteractive && caller.done >= 0) {
--- a/bench/policy_workload.cc
+++ b/bench/policy_workload.cc
@@ -37,7 +37,7 @@
     ClassName{"interactive", RequestClass::kInteractive},
     ClassName{"batch", RequestClass::kBatch},
     ClassName{"lookup", RequestClass::kLookup},
-    ClassName{"once", RequestClass::kOnce},
+    ClassName{"once", RequestClass::kAtMostOnce},
 };
 
 uint64_t Mix(uint64_t a, uint64_t b) {
@@ -167,7 +167,7 @@
     Arrival arrival = this->Make(time, account);
     arrival.request.service = kPlainService;
     arrival.request.request_class =
-        lookup ? RequestClass::kLookup : RequestClass::kOnce;
+        lookup ? RequestClass::kLookup : RequestClass::kAtMostOnce;
     this->SetTokens(arrival, lookup ? 16 : 160, 1);
     arrival.deadline_seconds = lookup ? kLookupDeadline : kOnceDeadline;
     return arrival;
--- a/packages/ctl/admin_client.cc
+++ b/packages/ctl/admin_client.cc
@@ -45,9 +45,9 @@
   this->task.Call([this] { this->client.reset(); });
 }
 
-Result<Json> AdminClient::Ask(const SocketAddress& address,
-                              const std::string& method,
-                              const std::string& target) {
+Result<Json> AdminClient::Send(const SocketAddress& address,
+                               const std::string& method,
+                               const std::string& target) {
   JsonRequest request{.address = address,
                       .method = method,
                       .target = target,
@@ -65,13 +65,13 @@
   return ReadAnswer(reply.get_future().get());
 }
 
-std::vector<AdminAnswer> AdminClient::AskAll(const std::string& method,
-                                             const std::string& target) {
+std::vector<AdminAnswer> AdminClient::SendToAll(const std::string& method,
+                                                const std::string& target) {
   std::vector<std::future<Result<Json>>> pending;
   for (const SocketAddress& address : this->hosts) {
     pending.push_back(
         std::async(std::launch::async, [this, address, &method, &target] {
-          return this->Ask(address, method, target);
+          return this->Send(address, method, target);
         }));
   }
   std::vector<AdminAnswer> answers;
@@ -83,7 +83,7 @@
 
 FleetStatus AdminClient::Status() {
   FleetStatus status;
-  for (const AdminAnswer& answer : this->AskAll("GET", "/admin/status")) {
+  for (const AdminAnswer& answer : this->SendToAll("GET", "/admin/status")) {
     const bool valid = answer.body && answer.body->At("host").IsText();
     if (!valid) {
       status.unreachable.push_back(answer.address);
@@ -98,7 +98,7 @@
          .data_centre = DataCentreId(body.At("data_centre").Text()),
          .revision = body.At("revision").Integer(),
          .draining = body.At("draining").Flag(),
-         .whole = body});
+         .status = body});
   }
   std::ranges::sort(status.hosts, {}, [](const FleetHost& host) {
     return std::tie(host.data_centre, host.host);
--- a/packages/ctl/admin_client.h
+++ b/packages/ctl/admin_client.h
@@ -38,7 +38,7 @@
   DataCentreId data_centre;
   int64_t revision = 0;
   bool draining = false;
-  Json whole;  // the complete /admin/status answer
+  Json status;  // the complete /admin/status answer
 };
 
 // The status of all hosts.
@@ -67,14 +67,14 @@
 
   // Sends a request to every host. The answers are in the order of the
   // addresses.
-  std::vector<AdminAnswer> AskAll(const std::string& method,
-                                  const std::string& target);
+  std::vector<AdminAnswer> SendToAll(const std::string& method,
+                                     const std::string& target);
 
   // Sends a request to one host. It may be sent more than once, so it must be
   // idempotent.
-  Result<Json> Ask(const SocketAddress& address,
-                   const std::string& method,
-                   const std::string& target);
+  Result<Json> Send(const SocketAddress& address,
+                    const std::string& method,
+                    const std::string& target);
 
   // Reads /admin/status of every host.
   FleetStatus Status();
--- a/packages/ctl/fleet_commands.cc
+++ b/packages/ctl/fleet_commands.cc
@@ -34,7 +34,7 @@
 
 void AddHost(const FleetHost& host, DataCentreView& view) {
   view.hosts.push_back(&host);
-  const Json lease = host.whole.At("lease");
+  const Json lease = host.status.At("lease");
   if (lease.At("fencing").Integer() > view.fencing) {
     view.fencing = lease.At("fencing").Integer();
     view.holder = lease.At("holder").Text();
@@ -42,18 +42,18 @@
   // All hosts watch the same endpoints. A host that has fewer combinations of
   // service, role and state has an incomplete view, so the largest one is used.
   std::map<std::string, int64_t> endpoints;
-  for (const Json& endpoint : host.whole.At("endpoints").Items()) {
+  for (const Json& endpoint : host.status.At("endpoints").Items()) {
     ++endpoints[endpoint.At("service").Text() + " " +
                 endpoint.At("role").Text() + " " + endpoint.At("state").Text()];
   }
   if (endpoints.size() >= view.endpoints.size()) {
     view.endpoints = std::move(endpoints);
   }
-  const Json refusals = host.whole.At("refusals");
+  const Json refusals = host.status.At("refusals");
   for (const std::string& code : refusals.Names()) {
     view.refusals[code] += refusals.At(code).Integer();
   }
-  for (const Json& account : host.whole.At("accounts").Items()) {
+  for (const Json& account : host.status.At("accounts").Items()) {
     const double share =
         account.At("share").Number(std::numeric_limits<double>::infinity());
     if (account.At("waiting").Integer() > 0 && share < view.worst_share) {
@@ -99,7 +99,7 @@
       out << "  host " << host->host << "  revision " << host->revision
           << (host->revision < newest ? "  BEHIND" : "")
           << (host->draining ? "  draining" : "");
-      for (const Json& cut : host->whole.At("unreachable").Items()) {
+      for (const Json& cut : host->status.At("unreachable").Items()) {
         out << "  CUT OFF from " << cut.Text();
       }
       out << "\n";
@@ -125,7 +125,7 @@
       .Name("hosts")
       .BeginArray();
   for (const FleetHost& host : fleet.hosts) {
-    out.Value(host.whole);
+    out.Value(host.status);
   }
   out.EndArray().Name("unreachable").BeginArray();
   for (size_t i = 0; i < fleet.unreachable.size(); ++i) {
@@ -174,7 +174,7 @@
         "no host that answers is called '" + name + "'");
   }
   const auto answer =
-      session.Admin().Ask(host->address, "POST", "/admin/drain");
+      session.Admin().Send(host->address, "POST", "/admin/drain");
   if (!answer) {
     return tl::unexpected(answer.error());
   }
@@ -288,8 +288,8 @@
   bool found = false;
   std::vector<std::string> missing;
   for (const FleetHost& host : fleet.hosts) {
-    const auto answer = session.Admin().Ask(host.address, "GET",
-                                            "/admin/why?request=" + request);
+    const auto answer = session.Admin().Send(host.address, "GET",
+                                             "/admin/why?request=" + request);
     if (!answer) {
       if (answer.error().kind != ErrorKind::kNotFound) {
         missing.push_back(host.host.Text() + ": " + answer.error().message);
--- a/packages/ctl/limit_commands.cc
+++ b/packages/ctl/limit_commands.cc
@@ -25,7 +25,7 @@
                                     const std::string& account) {
   std::vector<HostUsage> uses;
   for (const FleetHost& host : fleet.hosts) {
-    const Json limits = host.whole.At("limits");
+    const Json limits = host.status.At("limits");
     const std::vector<Json> known = limits.At("accounts").Items();
     const auto found = std::ranges::find(
         known, account, [](const Json& each) { return each.At("id").Text(); });
--- a/packages/ctl/request_trace.cc
+++ b/packages/ctl/request_trace.cc
@@ -293,7 +293,7 @@
     }
   }
   if (skipped.count > 0) {
-    this->foreign.push_back(skipped);
+    this->skipped.push_back(skipped);
   }
   return any_recognised || skipped.count == 0;
 }
--- a/packages/ctl/request_trace.h
+++ b/packages/ctl/request_trace.h
@@ -74,7 +74,7 @@
 
   bool Empty() const { return this->entries.empty(); }
   const std::vector<LogEntry>& Entries() const { return this->entries; }
-  const std::vector<SkippedLines>& Skipped() const { return this->foreign; }
+  const std::vector<SkippedLines>& Skipped() const { return this->skipped; }
   int64_t Dropped() const { return this->dropped; }
 
   // The line of the answer or event that ended the request for its caller; null
@@ -101,7 +101,7 @@
 
   std::string request;
   std::vector<LogEntry> entries;
-  std::vector<SkippedLines> foreign;
+  std::vector<SkippedLines> skipped;
   int64_t dropped = 0;  // lines about the request beyond kMaxEntries
 };
 
--- a/packages/daemon/control.cc
+++ b/packages/daemon/control.cc
@@ -112,7 +112,7 @@
           .store = this->store.get(),
           .platform = this->platform.get(),
           .endpoints = this->orders.get(),
-          .broadcast_release = [this](const Release& release) {
+          .broadcast_release = [this](const ReleaseNotice& release) {
             this->SendReleaseNotice(release);
           }});
   this->claims = std::make_unique<ClaimDriver>(
@@ -371,7 +371,7 @@
   this->coordinator->OnHosts(here);
 }
 
-void Control::SendReleaseNotice(const Release& release) {
+void Control::SendReleaseNotice(const ReleaseNotice& release) {
   this->peers->Broadcast(Released{.data_centre = this->settings.data_centre,
                                   .incarnation = release.incarnation,
                                   .fencing = release.fencing});
@@ -478,7 +478,7 @@
                                  .share = this->limits->Share(),
                                  .share_age = this->limits->ShareAge(),
                                  .holders_revision = this->limits->Revision(),
-                                 .accounts = this->limits->Uses()}});
+                                 .accounts = this->limits->AccountUsage()}});
 }
 
 }  // namespace hickorystand
--- a/packages/daemon/control.h
+++ b/packages/daemon/control.h
@@ -93,7 +93,7 @@
                   const std::function<void(const LimitDecision&)>& done);
   void CancelTokens(const RequestId& request);
   void GiveBackTokens(const AccountId& account, LimitUnit unit, int64_t cost) {
-    this->limits->GiveBack(account, unit, cost);
+    this->limits->Refund(account, unit, cost);
   }
 
   // Announces to the other hosts that this host is leaving, so that they assign
@@ -116,7 +116,7 @@
   void ScheduleDigest();
   void CompleteClaim(const RequestId& request, ClaimResult result);
   void RequestHostList();
-  void SendReleaseNotice(const Release& release);
+  void SendReleaseNotice(const ReleaseNotice& release);
   void SendUsageCopy();
   void CheckKeys();
   std::set<HostId> UsageCopyReceivers() const;
--- a/packages/daemon/coordinator_driver.cc
+++ b/packages/daemon/coordinator_driver.cc
@@ -167,7 +167,7 @@
   this->Perform(actions);
 }
 
-void CoordinatorDriver::OnReleased(const Release& release) {
+void CoordinatorDriver::OnReleased(const ReleaseNotice& release) {
   CoordinatorActions actions;
   this->coordinator.OnReleased(this->clock.Now(), release, actions);
   this->Perform(actions);
--- a/packages/daemon/coordinator_driver.h
+++ b/packages/daemon/coordinator_driver.h
@@ -36,7 +36,7 @@
               Answer answer);
 
   void Claim(const ClaimRequest& request);
-  void Forget(const RequestId& request) { this->book.Forget(request); }
+  void Forget(const RequestId& request) { this->book.OnSent(request); }
   void Withdraw(const RequestId& request);
 
   // Whether every claim was answered, and its request was sent or the claim
@@ -64,7 +64,7 @@
   KeyValueStore* store = nullptr;
   PlatformClient* platform = nullptr;
   OrderClient* endpoints = nullptr;
-  std::function<void(const Release&)> broadcast_release;
+  std::function<void(const ReleaseNotice&)> broadcast_release;
 };
 
 // Runs one host's coordinator.
@@ -82,7 +82,7 @@
 
   // Input, passed on to the coordinator.
   void OnHosts(const std::vector<HostListing>& hosts);
-  void OnReleased(const Release& release);
+  void OnReleased(const ReleaseNotice& release);
   void OnPeer(const HostId& host, uint64_t incarnation);
   void OnEndpointRestarted(const EndpointId& endpoint);
   void OnUsage(const UsageCopy& copy) { this->coordinator.OnUsage(copy); }
--- a/packages/daemon/relay_daemon.cc
+++ b/packages/daemon/relay_daemon.cc
@@ -264,7 +264,7 @@
   }
 }
 
-SchedulerNews RelayDaemon::News() const {
+SchedulerStatus RelayDaemon::CurrentStatus() const {
   const FleetConfigurationPtr& configuration = this->relay->Configuration();
   if (!configuration || !this->IsScheduler()) {
     return {.scheduler = this->IsScheduler(),
@@ -301,15 +301,16 @@
 }
 
 void RelayDaemon::BroadcastStatus() {
-  const SchedulerNews news = this->News();
+  const SchedulerStatus news = this->CurrentStatus();
   if (news != this->sent_status) {
     this->sent_status = news;
     this->peers->Broadcast(news);
   }
 }
 
-void RelayDaemon::TakeNews(const HostId& from, const SchedulerNews& news) {
-  this->forwarder->OnNews(from, news);
+void RelayDaemon::OnSchedulerNews(const HostId& from,
+                                  const SchedulerStatus& news) {
+  this->forwarder->OnSchedulerState(from, news);
   if (news.scheduler && !news.ready) {
     this->unready_schedulers.insert(from);
   } else {
@@ -348,7 +349,7 @@
   this->receiver->OnLost(host);
   this->unready_schedulers.erase(host);
   if (this->IsScheduler() || this->stop) {
-    this->peers->Send(host, this->News());
+    this->peers->Send(host, this->CurrentStatus());
   }
 }
 
@@ -392,7 +393,7 @@
               [this](const EndpointId& endpoint) {
                 return this->relay->Placement().Running(endpoint);
               },
-          .reading =
+          .prefill_engines =
               [this](const ServiceId& service) {
                 return this->FleetPrefill(service) /
                        this->relay->Placement()
@@ -465,8 +466,8 @@
     this->receiver->OnControl(from, *control);
   } else if (const auto* part = std::get_if<ForwardedAnswer>(&message)) {
     this->forwarder->OnAnswer(from, *part);
-  } else if (const auto* news = std::get_if<SchedulerNews>(&message)) {
-    this->TakeNews(from, *news);
+  } else if (const auto* news = std::get_if<SchedulerStatus>(&message)) {
+    this->OnSchedulerNews(from, *news);
   } else if (const auto* load = std::get_if<PrefillLoad>(&message)) {
     this->peer_loads[from] = *load;
   } else if (const auto* tokens = std::get_if<LimitTokens>(&message)) {
@@ -481,7 +482,7 @@
     }
   } else if (const auto* answer = std::get_if<FreshnessAnswer>(&message)) {
     this->source->OnFreshnessAnswer(*answer);
-  } else if (const auto* news = std::get_if<EndpointNews>(&message)) {
+  } else if (const auto* news = std::get_if<EndpointStatus>(&message)) {
     this->source->MarkLeaving(
         {.id = news->endpoint,
          .started = static_cast<int64_t>(news->incarnation)});
@@ -524,9 +525,9 @@
 void RelayDaemon::BroadcastLeaving(const EndpointRun& run) {
   if (this->peers->Rank() < kLeavingReporters) {
     this->peers->BroadcastToSchedulers(
-        EndpointNews{.endpoint = run.id,
-                     .incarnation = static_cast<uint64_t>(run.started),
-                     .leaving = true});
+        EndpointStatus{.endpoint = run.id,
+                       .incarnation = static_cast<uint64_t>(run.started),
+                       .leaving = true});
   }
 }
 
@@ -582,7 +583,7 @@
   this->relay->SuspectList().OnPeer(this->clock->Now(), digest.host,
                                     digest.suspicions);
   std::set<EndpointId> away;
-  for (const EndpointNews& news : digest.endpoints) {
+  for (const EndpointStatus& news : digest.endpoints) {
     if (news.down) {
       away.insert(news.endpoint);
     }
--- a/packages/daemon/relay_daemon.h
+++ b/packages/daemon/relay_daemon.h
@@ -73,11 +73,11 @@
   bool IsScheduler() const {
     return this->peers->Role() == FleetRole::kScheduler;
   }
-  SchedulerNews News() const;
+  SchedulerStatus CurrentStatus() const;
   void MeasureLag();
   void BroadcastStatus();
   void UpdateSubscribers();
-  void TakeNews(const HostId& from, const SchedulerNews& news);
+  void OnSchedulerNews(const HostId& from, const SchedulerStatus& news);
   void BroadcastUsage();
   double FleetPrefill(const ServiceId& service) const;
   void SendAllUsage(const HostId& host);
@@ -110,7 +110,7 @@
   std::vector<FleetHost> subscribers;        // share the engines' cache events
   std::map<HostId, PrefillLoad> peer_loads;  // of the other schedulers
   std::set<HostId> unready_schedulers;       // linked, but not ready
-  SchedulerNews sent_status;                 // last state broadcast
+  SchedulerStatus sent_status;               // last state broadcast
   std::unique_ptr<Timer> status_timer;
   Instant status_due{};
   double lag = 0;  // moving average of timer delay, seconds
--- a/packages/daemon/relay_settings.cc
+++ b/packages/daemon/relay_settings.cc
@@ -157,14 +157,14 @@
 RelaySettings ReadRelay(const Settings& from) {
   RelaySettings relay;
   relay.placement.zone = ZoneId(from.Text("relay", "zone"));
-  relay.placement.pace.prompt_tokens =
+  relay.placement.pace.prefill_tokens_per_second =
       static_cast<double>(from.Integer("fleet", "prompt_tokens_per_second"));
   relay.key_proof_limit =
       from.Flag("keys", "proof_needed")
           ? from.Length("keys", "revoke_within") - kRevokeMargin
           : Duration::max();
   relay.budget = {.window = from.Length("retries", "window"),
-                  .share = from.Share("retries", "share"),
+                  .retry_ratio = from.Share("retries", "share"),
                   .slack = from.Share("retries", "slack")};
   return relay;
 }
@@ -173,7 +173,8 @@
   const Duration bound = std::min(from.Length("fleet", "apply_within"),
                                   from.Length("fleet", "drain_within"));
   const Duration poll = std::clamp(bound / kReadsPerBound, kMinPoll, kMaxPoll);
-  return {.poll = poll, .ask_peers_after = poll * kUnansweredReadsBeforePeers};
+  return {.poll_period = poll,
+          .ask_peers_after = poll * kUnansweredReadsBeforePeers};
 }
 
 // A setting that can't change while the host runs, because other hosts know the
--- a/packages/daemon/status_page.cc
+++ b/packages/daemon/status_page.cc
@@ -125,7 +125,7 @@
         .Member("rate", use.limit.rate)
         .Member("burst", use.limit.burst)
         .Member("used", use.used)
-        .Member("left", use.left)
+        .Member("left", use.available)
         .EndObject();
   }
   out.EndArray().EndObject();
--- a/packages/decisions/account_limiter.cc
+++ b/packages/decisions/account_limiter.cc
@@ -33,9 +33,9 @@
 }
 
 // The fraction of all tokens that this host and its linked hosts receive.
-double AccountLimiter::Linked() const {
-  return std::min(1.0,
-                  this->each * static_cast<double>(this->peers.size() + 1));
+double AccountLimiter::LinkedShare() const {
+  return std::min(
+      1.0, this->holder_share * static_cast<double>(this->peers.size() + 1));
 }
 
 // The size of this host's part of a bucket. The pooled part shrinks with the
@@ -46,29 +46,30 @@
   switch (this->options.pooling) {
     case LimitPooling::kNone:
     case LimitPooling::kPeers:
-      return full * this->each;
+      return full * this->holder_share;
     case LimitPooling::kHome:
       break;
   }
   const double local = this->options.local_fraction;
-  return full * (local * this->each +
-                 (this->IsHome(bucket) ? (1 - local) * this->Linked() : 0));
+  return full *
+         (local * this->holder_share +
+          (this->IsHome(bucket) ? (1 - local) * this->LinkedShare() : 0));
 }
 
 double AccountLimiter::TokensAt(const Bucket& bucket, Instant now) const {
-  const double seconds = std::max(ToSeconds(now - bucket.at), 0.0);
+  const double seconds = std::max(ToSeconds(now - bucket.refilled_at), 0.0);
   const double capacity = this->Capacity(bucket);
   if (bucket.tokens > capacity) {
     return std::max(capacity,
                     bucket.tokens - this->BucketSize(bucket.limit) * seconds);
   }
-  return std::min(capacity,
-                  bucket.tokens + bucket.limit.rate * this->own * seconds);
+  return std::min(
+      capacity, bucket.tokens + bucket.limit.rate * this->own_share * seconds);
 }
 
-void AccountLimiter::Count(Bucket& bucket, Instant now) const {
+void AccountLimiter::Refill(Bucket& bucket, Instant now) const {
   bucket.tokens = this->TokensAt(bucket, now);
-  bucket.at = now;
+  bucket.refilled_at = now;
 }
 
 HostId AccountLimiter::ChooseHome(const AccountId& account) const {
@@ -105,17 +106,17 @@
     if (added) {
       bucket.account = account;
       bucket.limit = limit;
-      bucket.at = now;
+      bucket.refilled_at = now;
       bucket.home = this->ChooseHome(account);
-      if (this->configured && this->own > 0) {
-        bucket.tokens = this->BucketSize(limit) * this->each *
+      if (this->configured && this->own_share > 0) {
+        bucket.tokens = this->BucketSize(limit) * this->holder_share *
                         (this->options.pooling == LimitPooling::kHome
                              ? this->options.local_fraction
                              : 1);
       }
       continue;
     }
-    this->Count(bucket, now);
+    this->Refill(bucket, now);
     if (bucket.limit.unit != limit.unit) {
       bucket.tokens = 0;  // tokens and debts are in the old unit
     }
@@ -133,14 +134,14 @@
   const double known_share =
       holder_share > 0 ? holder_share
                        : 1 / static_cast<double>(this->peers.size() + 1);
-  if (own_share == this->own && known_share == this->each) {
+  if (own_share == this->own_share && known_share == this->holder_share) {
     return;
   }
   for (auto& [account, bucket] : this->buckets) {
-    this->Count(bucket, now);
+    this->Refill(bucket, now);
   }
-  this->own = own_share;
-  this->each = known_share;
+  this->own_share = own_share;
+  this->holder_share = known_share;
 }
 
 void AccountLimiter::SetPeers(Instant now, const std::vector<HostId>& linked) {
@@ -148,7 +149,7 @@
     return;
   }
   for (auto& [account, bucket] : this->buckets) {
-    this->Count(bucket, now);
+    this->Refill(bucket, now);
   }
   this->peers = linked;
   const auto unlinked = [&](const auto& entry) {
@@ -163,8 +164,8 @@
              std::ranges::find(linked, waiting.from) == linked.end();
     });
     for (Waiting& waiting : bucket.queue) {
-      if (!this->pending.contains(waiting.want)) {
-        waiting.want = 0;
+      if (!this->pending.contains(waiting.want_number)) {
+        waiting.want_number = 0;
         this->RequestTokens(bucket, waiting, now);
       }
     }
@@ -214,13 +215,13 @@
   }
   const bool others_empty =
       std::ranges::all_of(this->peers, [&](const HostId& peer) {
-        const auto found = bucket.emptied.find(peer);
-        return found != bucket.emptied.end() &&
+        const auto found = bucket.emptied_at.find(peer);
+        return found != bucket.emptied_at.end() &&
                now - found->second < this->options.refusal_period;
       });
   const double missing =
       this->TokensNeeded(bucket, request, now) - bucket.tokens;
-  return !others_empty || missing < bucket.limit.rate * this->Linked() *
+  return !others_empty || missing < bucket.limit.rate * this->LinkedShare() *
                                         ToSeconds(this->options.max_home_wait);
 }
 
@@ -230,31 +231,32 @@
   if (found == this->buckets.end()) {
     return LimitVerdict{.granted = true, .reason = "no limit"};
   }
-  return this->Serve(found->second, {.ask = request}, now);
+  return this->Serve(found->second, {.request = request}, now);
 }
 
 std::optional<LimitVerdict> AccountLimiter::Serve(Bucket& bucket,
                                                   Waiting waiting,
                                                   Instant now) {
-  this->Count(bucket, now);
+  this->Refill(bucket, now);
   bucket.last_demand = now;
-  if (bucket.queue.empty() && this->Spend(bucket, waiting.ask, now)) {
+  if (bucket.queue.empty() && this->Spend(bucket, waiting.request, now)) {
     return this->Granted(bucket);
   }
   // The sender takes this host for the home, but by this host's own list it is
   // not. It refuses instead of forwarding the request.
   if (!waiting.from.Empty() && !this->IsHome(bucket)) {
-    return this->Refused(bucket, waiting.ask, "not the account's home", now);
+    return this->Refused(bucket, waiting.request, "not the account's home",
+                         now);
   }
-  if (!this->MayServeInTime(bucket, waiting.ask, now)) {
-    return this->Refused(bucket, waiting.ask, "used up", now);
+  if (!this->MayServeInTime(bucket, waiting.request, now)) {
+    return this->Refused(bucket, waiting.request, "used up", now);
   }
-  waiting.until = now + (this->IsHome(bucket) ? this->options.max_home_wait
-                                              : this->options.wait);
+  waiting.deadline = now + (this->IsHome(bucket) ? this->options.max_home_wait
+                                                 : this->options.max_wait);
   this->RequestTokens(bucket, waiting, now);
   const auto position = std::ranges::upper_bound(
-      bucket.queue, waiting.ask.priority, {},
-      [](const Waiting& queued) { return queued.ask.priority; });
+      bucket.queue, waiting.request.priority, {},
+      [](const Waiting& queued) { return queued.request.priority; });
   bucket.queue.insert(position, std::move(waiting));
   return {};
 }
@@ -275,10 +277,10 @@
   }
   this->Send(bucket.home,
              {.account = bucket.account,
-              .tokens = waiting.ask.cost,
-              .priority = waiting.ask.priority},
+              .tokens = waiting.request.cost,
+              .priority = waiting.request.priority},
              now);
-  waiting.want = this->last_number;
+  waiting.want_number = this->last_number;
 }
 
 void AccountLimiter::Send(const HostId& to, TokenWant want, Instant now) {
@@ -298,7 +300,8 @@
                                      std::string_view reason,
                                      Instant now) const {
   bucket.short_until = now + this->options.shortage_period;
-  const double part = this->IsHome(bucket) ? this->Linked() : this->each;
+  const double part =
+      this->IsHome(bucket) ? this->LinkedShare() : this->holder_share;
   const double rate = std::max(bucket.limit.rate * part, 1.0);
   const double capacity = this->Capacity(bucket);
   const double missing = std::max(
@@ -321,38 +324,39 @@
 void AccountLimiter::Decide(const Waiting& waiting,
                             const LimitVerdict& verdict) {
   if (waiting.from.Empty()) {
-    this->effects.decided.emplace_back(waiting.ask.number, verdict);
+    this->effects.decided.emplace_back(waiting.request.number, verdict);
     return;
   }
   this->effects.grants.emplace_back(
-      waiting.from, TokenGrant{.number = waiting.ask.number,
-                               .account = waiting.ask.account,
-                               .tokens = verdict.granted ? waiting.ask.cost : 0,
-                               .retry_after = verdict.retry_after});
+      waiting.from,
+      TokenGrant{.number = waiting.request.number,
+                 .account = waiting.request.account,
+                 .tokens = verdict.granted ? waiting.request.cost : 0,
+                 .retry_after = verdict.retry_after});
 }
 
 void AccountLimiter::Cancel(int64_t number) {
   for (auto& [account, bucket] : this->buckets) {
     std::erase_if(bucket.queue, [number](const Waiting& waiting) {
-      return waiting.from.Empty() && waiting.ask.number == number;
+      return waiting.from.Empty() && waiting.request.number == number;
     });
   }
 }
 
-void AccountLimiter::GiveBack(Instant now,
-                              const AccountId& account,
-                              int64_t cost) {
+void AccountLimiter::Refund(Instant now,
+                            const AccountId& account,
+                            int64_t cost) {
   const auto found = this->buckets.find(account);
   if (found != this->buckets.end()) {
-    this->Count(found->second, now);
+    this->Refill(found->second, now);
     found->second.tokens += static_cast<double>(cost);
-    this->Advance(found->second, now);
+    this->ServeQueue(found->second, now);
   }
 }
 
 // The tokens that this host can grant to a pull. A home with recent demand
 // keeps half of its bucket.
-double AccountLimiter::Spare(const Bucket& bucket, Instant now) const {
+double AccountLimiter::SpareTokens(const Bucket& bucket, Instant now) const {
   const bool busy = now - bucket.last_demand < this->options.shortage_period;
   const bool keeps_half = this->IsHome(bucket) && busy;
   return std::max(bucket.tokens - (keeps_half ? this->Capacity(bucket) / 2 : 0),
@@ -371,10 +375,10 @@
     return;
   }
   Bucket& bucket = found->second;
-  Waiting waiting{.ask = {.number = want.number,
-                          .account = want.account,
-                          .cost = want.tokens,
-                          .priority = want.priority},
+  Waiting waiting{.request = {.number = want.number,
+                              .account = want.account,
+                              .cost = want.tokens,
+                              .priority = want.priority},
                   .from = from};
   if (!want.pull) {
     if (const auto verdict = this->Serve(bucket, waiting, now)) {
@@ -382,10 +386,10 @@
     }
     return;
   }
-  this->Count(bucket, now);
-  waiting.ask.cost =
-      std::min(want.tokens, static_cast<int64_t>(this->Spare(bucket, now)));
-  bucket.tokens -= static_cast<double>(waiting.ask.cost);
+  this->Refill(bucket, now);
+  waiting.request.cost = std::min(
+      want.tokens, static_cast<int64_t>(this->SpareTokens(bucket, now)));
+  bucket.tokens -= static_cast<double>(waiting.request.cost);
   this->Decide(waiting, {.granted = true});
 }
 
@@ -408,22 +412,22 @@
     return;
   }
   Bucket& bucket = found->second;
-  this->Count(bucket, now);
+  this->Refill(bucket, now);
   bucket.tokens += static_cast<double>(grant.tokens);
   if (emptied) {
-    bucket.emptied[from] = now;
+    bucket.emptied_at[from] = now;
   }
   const auto waiting =
-      std::ranges::find(bucket.queue, grant.number, &Waiting::want);
+      std::ranges::find(bucket.queue, grant.number, &Waiting::want_number);
   if (!pulled && waiting != bucket.queue.end()) {
     const Waiting served = std::move(*waiting);
     bucket.queue.erase(waiting);
-    if (grant.tokens >= served.ask.cost) {
-      bucket.tokens -= static_cast<double>(served.ask.cost);
+    if (grant.tokens >= served.request.cost) {
+      bucket.tokens -= static_cast<double>(served.request.cost);
       this->Decide(served, this->Granted(bucket));
     } else {
       const LimitVerdict refused =
-          this->Refused(bucket, served.ask, "used up at the home", now);
+          this->Refused(bucket, served.request, "used up at the home", now);
       bucket.refused_until = now + this->options.refusal_period;
       this->Decide(served, {.retry_after = std::max(grant.retry_after,
                                                     refused.retry_after),
@@ -432,26 +436,27 @@
                             .held = refused.held});
     }
   }
-  this->Advance(bucket, now);
+  this->ServeQueue(bucket, now);
 }
 
 // Admits the waiting requests that the tokens now suffice for, and refuses
 // those that waited too long or can't get enough tokens in time.
-void AccountLimiter::Advance(Bucket& bucket, Instant now) {
+void AccountLimiter::ServeQueue(Bucket& bucket, Instant now) {
   std::deque<Waiting> rest;
   for (Waiting& waiting : std::exchange(bucket.queue, {})) {
     const bool home_pending =
-        waiting.want != 0 && this->pending.contains(waiting.want);
-    if (this->Spend(bucket, waiting.ask, now)) {
+        waiting.want_number != 0 && this->pending.contains(waiting.want_number);
+    if (this->Spend(bucket, waiting.request, now)) {
       this->Decide(waiting, this->Granted(bucket));
-    } else if (now >= waiting.until) {
-      this->Decide(waiting, this->Refused(bucket, waiting.ask,
+    } else if (now >= waiting.deadline) {
+      this->Decide(waiting, this->Refused(bucket, waiting.request,
                                           home_pending ? "no answer of the home"
                                                        : "used up",
                                           now));
     } else if (!home_pending &&
-               !this->MayServeInTime(bucket, waiting.ask, now)) {
-      this->Decide(waiting, this->Refused(bucket, waiting.ask, "used up", now));
+               !this->MayServeInTime(bucket, waiting.request, now)) {
+      this->Decide(waiting,
+                   this->Refused(bucket, waiting.request, "used up", now));
     } else {
       rest.push_back(std::move(waiting));
     }
@@ -480,14 +485,14 @@
                              Instant now,
                              double part) const {
   return !this->peers.empty() &&
-         ToSeconds(now - bucket.pulled) >=
+         ToSeconds(now - bucket.last_pull) >=
              part * ToSeconds(this->PullInterval(bucket));
 }
 
 void AccountLimiter::Pull(Bucket& bucket, Instant now) {
-  bucket.pulled = now;
+  bucket.last_pull = now;
   const auto add_cost = [](double sum, const Waiting& queued) {
-    return sum + static_cast<double>(queued.ask.cost);
+    return sum + static_cast<double>(queued.request.cost);
   };
   const double missing =
       std::accumulate(bucket.queue.begin(), bucket.queue.end(),
@@ -518,8 +523,8 @@
     if (!has_demand && bucket.queue.empty()) {
       continue;
     }
-    this->Count(bucket, now);
-    this->Advance(bucket, now);
+    this->Refill(bucket, now);
+    this->ServeQueue(bucket, now);
     const bool needs_tokens =
         !bucket.queue.empty() ||
         bucket.tokens < this->options.low_watermark * this->Capacity(bucket);
@@ -541,7 +546,7 @@
   }
 }
 
-double AccountLimiter::Held(Instant now, const AccountId& account) const {
+double AccountLimiter::TokensHeld(Instant now, const AccountId& account) const {
   const auto found = this->buckets.find(account);
   return found == this->buckets.end() ? 0 : this->TokensAt(found->second, now);
 }
--- a/packages/decisions/account_limiter.h
+++ b/packages/decisions/account_limiter.h
@@ -127,7 +127,7 @@
   Duration min_burst_duration = std::chrono::milliseconds(250);
   // Maximum wait of a request for the home's reply, and maximum wait at the
   // home for tokens from other hosts.
-  Duration wait = std::chrono::milliseconds(80);
+  Duration max_wait = std::chrono::milliseconds(80);
   Duration max_home_wait = std::chrono::milliseconds(40);
   // The interval between pulls is `pull_fill_fraction` of the time in which
   // the other hosts' parts fill, clamped to the minimum and maximum. While
@@ -188,7 +188,7 @@
   void Cancel(int64_t number);
 
   // Returns the tokens of a request that certainly did not run.
-  void GiveBack(Instant now, const AccountId& account, int64_t cost);
+  void Refund(Instant now, const AccountId& account, int64_t cost);
 
   void OnWant(Instant now, const HostId& from, const TokenWant& want);
   void OnGrant(Instant now, const HostId& from, const TokenGrant& grant);
@@ -199,30 +199,32 @@
   LimitEffects TakeEffects() { return std::exchange(this->effects, {}); }
 
   // Tokens of an account at this host; negative if in debt.
-  double Held(Instant now, const AccountId& account) const;
+  double TokensHeld(Instant now, const AccountId& account) const;
   const HostId& HomeOf(const AccountId& account) const;
 
  private:
   // A request of this or another host that waits for tokens.
   struct Waiting {
-    LimitRequest ask;
+    LimitRequest request;
     HostId from;  // empty: this host
-    Instant until{};
-    int64_t want = 0;  // number of the TokenWant sent to the home; 0: none
+    Instant deadline{};
+    int64_t want_number =
+        0;  // number of the TokenWant sent to the home; 0: none
   };
 
   struct Bucket {
     AccountId account;
     AccountLimit limit;
     double tokens = 0;
-    Instant at{};  // when `tokens` was last brought up to date
+    Instant refilled_at{};  // when `tokens` was last brought up to date
     HostId home;
     Instant last_demand{};    // last request for tokens
     Instant short_until{};    // end of the shortage after a refusal
     Instant refused_until{};  // no requests to the home until then
     Instant backlog_until{};  // retries of refused requests are spread to it
-    Instant pulled{};
-    std::map<HostId, Instant> emptied;  // when a peer last granted all it had
+    Instant last_pull{};
+    std::map<HostId, Instant>
+        emptied_at;  // when a peer last granted all it had
     std::deque<Waiting> queue;
   };
 
@@ -236,9 +238,9 @@
   bool IsHome(const Bucket& bucket) const { return bucket.home == this->self; }
   double BucketSize(const AccountLimit& limit) const;
   double Capacity(const Bucket& bucket) const;
-  double Linked() const;
+  double LinkedShare() const;
   double TokensAt(const Bucket& bucket, Instant now) const;
-  void Count(Bucket& bucket, Instant now) const;
+  void Refill(Bucket& bucket, Instant now) const;
   HostId ChooseHome(const AccountId& account) const;
   double TokensNeeded(const Bucket& bucket,
                       const LimitRequest& request,
@@ -257,18 +259,18 @@
                        std::string_view reason,
                        Instant now) const;
   void Decide(const Waiting& waiting, const LimitVerdict& verdict);
-  void Advance(Bucket& bucket, Instant now);
+  void ServeQueue(Bucket& bucket, Instant now);
   Duration PullInterval(const Bucket& bucket) const;
   bool PullDue(const Bucket& bucket, Instant now, double part) const;
   void Pull(Bucket& bucket, Instant now);
   void Send(const HostId& to, TokenWant want, Instant now);
-  double Spare(const Bucket& bucket, Instant now) const;
+  double SpareTokens(const Bucket& bucket, Instant now) const;
 
   HostId self;
   LimitOptions options;
   bool configured = false;
-  double own = 0;
-  double each = 0;
+  double own_share = 0;
+  double holder_share = 0;
   std::vector<HostId> peers;
   std::map<AccountId, Bucket> buckets;
   std::map<int64_t, Pending> pending;  // by number of the want
--- a/packages/decisions/admission.cc
+++ b/packages/decisions/admission.cc
@@ -17,7 +17,7 @@
 constexpr double kMinWeight = 0.001;
 constexpr size_t kMaxPeers = 1024;
 
-bool IsBatch(const Waiting& waiting) {
+bool IsBatch(const QueuedRequest& waiting) {
   return waiting.request_class == RequestClass::kBatch;
 }
 
@@ -28,7 +28,7 @@
 
 void Admission::OnConfiguration(const Configuration& configuration) {
   for (const auto& [id, account] : configuration.accounts) {
-    Counted& counted = this->accounts[id];
+    AccountState& counted = this->accounts[id];
     counted.weight = std::max(kMinWeight, account.weight);
     counted.max_in_flight = account.max_in_flight;
   }
@@ -41,7 +41,7 @@
 // The counter of an account that becomes active, raised to the current virtual
 // time minus the credit. Otherwise an account could accumulate credit while
 // idle and then starve all others for as long.
-double Admission::LiftedCounter(const Counted& account) const {
+double Admission::LiftedCounter(const AccountState& account) const {
   return std::max(
       account.counter,
       this->virtual_time - this->options.idle_credit_tokens / account.weight);
@@ -52,7 +52,7 @@
                         double cost,
                         bool requeued) {
   assert(!this->index.contains(request.id) && "request is already queued");
-  Counted& account = this->accounts[request.account];
+  AccountState& account = this->accounts[request.account];
   if (account.waiting == 0) {
     account.counter = this->LiftedCounter(account);
   }
@@ -64,19 +64,19 @@
       this->options.age_batch
           ? request.arrived + std::min(max_wait, this->options.max_batch_wait)
           : Instant::max();
-  Waiting waiting{.request = request.id,
-                  .account = request.account,
-                  .service = request.service,
-                  .request_class = request.request_class,
-                  .cost = cost,
-                  .due = batch ? batch_due : request.deadline,
-                  .order = this->next_order++};
+  QueuedRequest waiting{.request = request.id,
+                        .account = request.account,
+                        .service = request.service,
+                        .request_class = request.request_class,
+                        .cost = cost,
+                        .due = batch ? batch_due : request.deadline,
+                        .order = this->next_order++};
   if (requeued) {
     waiting.due = now;
   } else if (!this->options.fair) {
     waiting.due = request.arrived;
   }
-  Lines& queues = this->pools[request.service].queues[request.account];
+  AccountQueues& queues = this->pools[request.service].queues[request.account];
   (batch ? queues.batch : queues.urgent).insert(waiting);
   (batch ? queues.batch_cost : queues.urgent_cost) += cost;
   account.waiting += 1;
@@ -88,10 +88,10 @@
   if (found == this->index.end()) {
     return false;
   }
-  const Waiting waiting = found->second;
+  const QueuedRequest waiting = found->second;
   this->index.erase(found);
   ServiceQueue& pool = this->pools.at(waiting.service);
-  Lines& queues = pool.queues.at(waiting.account);
+  AccountQueues& queues = pool.queues.at(waiting.account);
   const bool batch = IsBatch(waiting);
   [[maybe_unused]] const size_t erased =
       (batch ? queues.batch : queues.urgent).erase(waiting);
@@ -106,10 +106,11 @@
 
 // Batch requests that are due are merged by due time; all others go after the
 // urgent requests.
-std::vector<const Waiting*> Admission::FirstOf(Instant now,
-                                               const Lines& queues,
-                                               size_t count) const {
-  std::vector<const Waiting*> first;
+std::vector<const QueuedRequest*> Admission::FirstOf(
+    Instant now,
+    const AccountQueues& queues,
+    size_t count) const {
+  std::vector<const QueuedRequest*> first;
   auto urgent = queues.urgent.begin();
   auto batch = queues.batch.begin();
   while (first.size() < count) {
@@ -126,7 +127,7 @@
   return first;
 }
 
-bool Admission::AtLimit(const Counted& account) const {
+bool Admission::AtLimit(const AccountState& account) const {
   if (account.max_in_flight == 0) {
     return false;
   }
@@ -134,9 +135,9 @@
   return account.in_flight * hosts >= account.max_in_flight;
 }
 
-std::vector<Waiting> Admission::Heads(Instant now,
-                                      const ServiceId& service,
-                                      size_t per_account) const {
+std::vector<QueuedRequest> Admission::Heads(Instant now,
+                                            const ServiceId& service,
+                                            size_t per_account) const {
   const auto pool = this->pools.find(service);
   if (pool == this->pools.end()) {
     return {};
@@ -144,16 +145,17 @@
   struct Ranked {
     bool yields;
     double counter;
-    const Waiting* waiting;
+    const QueuedRequest* waiting;
   };
   std::vector<Ranked> ranked;
   const bool contended = pool->second.queues.size() > 1;
   for (const auto& [id, queues] : pool->second.queues) {
-    const Counted& account = this->accounts.at(id);
+    const AccountState& account = this->accounts.at(id);
     if (contended && this->AtLimit(account)) {
       continue;
     }
-    for (const Waiting* waiting : this->FirstOf(now, queues, per_account)) {
+    for (const QueuedRequest* waiting :
+         this->FirstOf(now, queues, per_account)) {
       const bool yields = IsBatch(*waiting) && waiting->due > now;
       const double counter = this->options.fair
                                  ? account.counter
@@ -165,27 +167,28 @@
     return std::tuple(a.yields, a.counter, a.waiting->due, a.waiting->order) <
            std::tuple(b.yields, b.counter, b.waiting->due, b.waiting->order);
   });
-  std::vector<Waiting> heads;
+  std::vector<QueuedRequest> heads;
   std::ranges::transform(ranked, std::back_inserter(heads),
                          [](const Ranked& entry) { return *entry.waiting; });
   return heads;
 }
 
 void Admission::Start(Instant now, const RequestId& request) {
-  const Waiting waiting = this->index.at(request);
+  const QueuedRequest waiting = this->index.at(request);
   this->Remove(request);
-  Counted& account = this->accounts.at(waiting.account);
+  AccountState& account = this->accounts.at(waiting.account);
   this->virtual_time = std::max(this->virtual_time, account.counter);
   account.counter += waiting.cost / account.weight;
   account.served += waiting.cost;
   account.in_flight += 1;
   ServiceQueue& pool = this->pools.at(waiting.service);
-  pool.drained += waiting.cost;
+  pool.started_cost += waiting.cost;
   const double elapsed = ToSeconds(now - pool.window_start);
   if (elapsed >= kDrainWindowSeconds) {
-    const double rate = pool.drained / elapsed;
-    pool.drain += (pool.drain == 0 ? 1 : kDrainGain) * (rate - pool.drain);
-    pool.drained = 0;
+    const double rate = pool.started_cost / elapsed;
+    pool.drain_rate +=
+        (pool.drain_rate == 0 ? 1 : kDrainGain) * (rate - pool.drain_rate);
+    pool.started_cost = 0;
     pool.window_start = now;
   }
 }
@@ -198,8 +201,8 @@
   }
 }
 
-void Admission::Ended(const AccountId& account) {
-  Counted& counted = this->accounts.at(account);
+void Admission::OnEnded(const AccountId& account) {
+  AccountState& counted = this->accounts.at(account);
   counted.in_flight -= 1;
   assert(counted.in_flight >= 0 && "OnEnded() was called twice for a request");
 }
@@ -239,14 +242,14 @@
                                       double cost) const {
   const auto pool = this->pools.find(request.service);
   if (pool == this->pools.end() || pool->second.queues.empty() ||
-      pool->second.drain <= 0) {
+      pool->second.drain_rate <= 0) {
     return 0;
   }
   // The request starts when its account's counter has reached `start`. Until
   // then each other account is served up to the same counter value.
   const auto counted = this->accounts.find(request.account);
-  const Counted new_account;
-  const Counted& account =
+  const AccountState new_account;
+  const AccountState& account =
       counted == this->accounts.end() ? new_account : counted->second;
   const auto& queues = pool->second.queues;
   const auto own = queues.find(request.account);
@@ -257,25 +260,25 @@
   double ahead = queued + cost;
   for (const auto& [id, queue] : queues) {
     if (id != request.account) {
-      const Counted& other = this->accounts.at(id);
+      const AccountState& other = this->accounts.at(id);
       const double cost_before = (start - other.counter) * other.weight;
       ahead += this->options.fair
                    ? std::clamp(cost_before, 0.0, queue.urgent_cost)
                    : queue.urgent_cost;
     }
   }
-  return ahead / pool->second.drain;
+  return ahead / pool->second.drain_rate;
 }
 
 Duration Admission::RetryAfter(const ServiceId& service) {
   double seconds = 1;
   const auto pool = this->pools.find(service);
-  if (pool != this->pools.end() && pool->second.drain > 0) {
+  if (pool != this->pools.end() && pool->second.drain_rate > 0) {
     double total = 0;
     for (const auto& [id, queue] : pool->second.queues) {
       total += queue.urgent_cost + queue.batch_cost;
     }
-    seconds = std::max(seconds, total / pool->second.drain);
+    seconds = std::max(seconds, total / pool->second.drain_rate);
   }
   std::uniform_real_distribution<double> jitter(0, kRetryJitter);
   seconds = std::min(seconds, kMaxRetrySeconds);
--- a/packages/decisions/admission.h
+++ b/packages/decisions/admission.h
@@ -53,7 +53,7 @@
 };
 
 // One entry of the queue.
-struct Waiting {
+struct QueuedRequest {
   RequestId request;
   AccountId account;
   ServiceId service;
@@ -62,7 +62,7 @@
   Instant due{};       // order within the account
   uint64_t order = 0;  // arrival order, breaks ties
 
-  bool operator==(const Waiting&) const = default;
+  bool operator==(const QueuedRequest&) const = default;
 };
 
 // The queues of all services on one host. A request is added by Enqueue(), and
@@ -84,9 +84,9 @@
   // The first `per_account` requests of each account, in the order in which
   // they should start: account by account, lowest counter first, batch requests
   // that are not due last.
-  std::vector<Waiting> Heads(Instant now,
-                             const ServiceId& service,
-                             size_t per_account) const;
+  std::vector<QueuedRequest> Heads(Instant now,
+                                   const ServiceId& service,
+                                   size_t per_account) const;
 
   // Removes a queued request and charges its cost to the account.
   void Start(Instant now, const RequestId& request);
@@ -96,7 +96,7 @@
   void AdjustCost(const AccountId& account, double difference);
 
   // A started request ended, or will be queued again.
-  void Ended(const AccountId& account);
+  void OnEnded(const AccountId& account);
 
   // Adds the work that a peer has served since its previous digest to the
   // counters.
@@ -123,20 +123,20 @@
   double Counter(const AccountId& account) const;
 
  private:
-  struct Before {
-    bool operator()(const Waiting& a, const Waiting& b) const {
+  struct EarlierDue {
+    bool operator()(const QueuedRequest& a, const QueuedRequest& b) const {
       return std::tie(a.due, a.order) < std::tie(b.due, b.order);
     }
   };
-  using Line = std::set<Waiting, Before>;
-  struct Lines {
-    Line urgent;
-    Line batch;
+  using RequestQueue = std::set<QueuedRequest, EarlierDue>;
+  struct AccountQueues {
+    RequestQueue urgent;
+    RequestQueue batch;
     double urgent_cost = 0;
     double batch_cost = 0;
     bool Empty() const { return this->urgent.empty() && this->batch.empty(); }
   };
-  struct Counted {
+  struct AccountState {
     double weight = 1;
     int64_t max_in_flight = 0;
     double counter = 0;  // work served by all hosts / weight
@@ -145,10 +145,10 @@
     int64_t in_flight = 0;
   };
   struct ServiceQueue {
-    std::map<AccountId, Lines> queues;
-    double drain = 0;        // cost per second, smoothed
-    Instant window_start{};  // start of the measuring window
-    double drained = 0;      // cost started since window_start
+    std::map<AccountId, AccountQueues> queues;
+    double drain_rate = 0;    // cost per second, smoothed
+    Instant window_start{};   // start of the measuring window
+    double started_cost = 0;  // cost started since window_start
   };
   struct Peer {
     uint64_t incarnation = 0;
@@ -156,17 +156,17 @@
     std::map<AccountId, AccountServed> served;
   };
 
-  double LiftedCounter(const Counted& account) const;
-  std::vector<const Waiting*> FirstOf(Instant now,
-                                      const Lines& lines,
-                                      size_t count) const;
-  bool AtLimit(const Counted& account) const;
+  double LiftedCounter(const AccountState& account) const;
+  std::vector<const QueuedRequest*> FirstOf(Instant now,
+                                            const AccountQueues& lines,
+                                            size_t count) const;
+  bool AtLimit(const AccountState& account) const;
 
   AdmissionOptions options;
   std::mt19937_64 random;
-  std::map<AccountId, Counted> accounts;
+  std::map<AccountId, AccountState> accounts;
   std::map<ServiceId, ServiceQueue> pools;
-  std::map<RequestId, Waiting> index;
+  std::map<RequestId, QueuedRequest> index;
   std::map<HostId, Peer> peers;
   double virtual_time = 0;
   uint64_t next_order = 0;
--- a/packages/decisions/answer_times.cc
+++ b/packages/decisions/answer_times.cc
@@ -27,19 +27,20 @@
           .size_class = static_cast<int>(std::bit_width(tokens))};
 }
 
-AnswerTimes::Samples AnswerTimes::Empty() {
+AnswerTimes::Samples AnswerTimes::EmptySamples() {
   return Samples(acc::quantile_probability = kQuantile);
 }
 
-AnswerTimes::Recent::Recent() : current(Empty()), previous(Empty()) {}
+AnswerTimes::Recent::Recent()
+    : current(EmptySamples()), previous(EmptySamples()) {}
 
 void AnswerTimes::Recent::RollTo(Instant now) {
   const Duration passed = now - this->begun;
   if (passed < kPeriod) {
     return;
   }
-  this->previous = passed < 2 * kPeriod ? this->current : Empty();
-  this->current = Empty();
+  this->previous = passed < 2 * kPeriod ? this->current : EmptySamples();
+  this->current = EmptySamples();
   this->begun = now;
 }
 
--- a/packages/decisions/answer_times.h
+++ b/packages/decisions/answer_times.h
@@ -68,7 +68,7 @@
     Samples previous;
   };
 
-  static Samples Empty();
+  static Samples EmptySamples();
   static double SamplesP95(const Samples& samples);
 
   // nullopt if the kind itself has no samples.
--- a/packages/decisions/claims.cc
+++ b/packages/decisions/claims.cc
@@ -21,7 +21,7 @@
 
 // Hashes a field preceded by its length, so that two different pairs of fields
 // never concatenate to the same bytes.
-void Feed(GChecksum* sum, std::string_view text) {
+void HashField(GChecksum* sum, std::string_view text) {
   const std::string length = std::to_string(text.size()) + ":";
   g_checksum_update(sum, reinterpret_cast<const guchar*>(length.data()),
                     static_cast<gssize>(length.size()));
@@ -45,11 +45,11 @@
                      std::string_view path,
                      std::string_view body) {
   GChecksum* sum = g_checksum_new(G_CHECKSUM_SHA256);
-  Feed(sum, account.Text());
-  Feed(sum, idempotency_key);
+  HashField(sum, account.Text());
+  HashField(sum, idempotency_key);
   if (idempotency_key.empty()) {
-    Feed(sum, path);
-    Feed(sum, body);
+    HashField(sum, path);
+    HashField(sum, body);
   }
   std::string key = "/hickorystand/claims/" + service.Text() + "/" +
                     g_checksum_get_string(sum);
@@ -93,7 +93,7 @@
   return found != this->granted.end() && now < found->second.valid_until;
 }
 
-void ClaimManager::Forget(const RequestId& request) {
+void ClaimManager::OnSent(const RequestId& request) {
   this->granted.erase(request);
 }
 
@@ -106,7 +106,7 @@
   }
   this->AddCleanUp({.key = found->second.key,
                     .token = found->second.token,
-                    .last_sent = found->second.last_unanswered});
+                    .last_put = found->second.last_unanswered});
   this->granted.erase(found);
   this->OnTick(now, out);
 }
@@ -156,7 +156,7 @@
     // repeat a request for one window, and the repeat may then sit unread on a
     // stalled host.
     shared.lease = *lease;
-    shared.usable_until = shared.asked + window;
+    shared.usable_until = shared.requested_at + window;
   } else {
     this->RefuseUnsent(now, window, out);
   }
@@ -190,9 +190,10 @@
   if (shared.lease != 0 && now < shared.usable_until) {
     return true;
   }
-  const bool timed_out = now - shared.asked >= this->options.settle;
+  const bool timed_out =
+      now - shared.requested_at >= this->options.max_apply_delay;
   if (shared.call == 0 || timed_out) {
-    shared = {.call = ++this->last_tag, .asked = now};
+    shared = {.call = ++this->last_tag, .requested_at = now};
     ++this->counts.leases;
     out.emplace_back(
         GrantLease{.tag = shared.call, .length = kLeaseWindows * window});
@@ -360,7 +361,7 @@
     if (may_be_recorded) {
       this->AddCleanUp({.key = claim.request.key,
                         .token = token,
-                        .last_sent = claim.last_sent});
+                        .last_put = claim.last_sent});
     }
     this->Answer(
         token,
@@ -390,7 +391,7 @@
   const CallTag tag = ++this->last_tag;
   this->clean_ups_in_flight.emplace(tag, token);
   clean_up.in_flight = true;
-  clean_up.asked = now;
+  clean_up.attempted_at = now;
   clean_up.next_try = now + this->options.retry_interval;
   this->next_batch = now + this->options.batch_interval;
   ++this->counts.transactions;
@@ -413,7 +414,8 @@
   const bool answered = reply.outcome == StoreOutcome::kThen ||
                         reply.outcome == StoreOutcome::kOtherwise;
   // Done only when no attempt to create the record can still take effect.
-  if (answered && clean_up.asked - clean_up.last_sent >= this->options.settle) {
+  if (answered && clean_up.attempted_at - clean_up.last_put >=
+                      this->options.max_apply_delay) {
     this->clean_ups.erase(found);
   }
 }
--- a/packages/decisions/claims.h
+++ b/packages/decisions/claims.h
@@ -82,7 +82,7 @@
   Duration retry_interval = std::chrono::milliseconds(200);
   // How long after sending a transaction may still take effect. The clean-up
   // of a record is retried until then.
-  Duration settle = std::chrono::seconds(5);
+  Duration max_apply_delay = std::chrono::seconds(5);
   int64_t max_batch = 40;        // keys per transaction; the store allows 128
   int64_t max_in_flight = 8;     // transactions
   int64_t max_waiting = 4096;    // claims
@@ -118,7 +118,7 @@
   bool MaySend(Instant now, const RequestId& request) const;
 
   // Call when the request was sent, whatever its outcome. Its record stays.
-  void Forget(const RequestId& request);
+  void OnSent(const RequestId& request);
 
   // Call when a granted request was certainly not sent, not even in part.
   // Removes its record, so that the caller may send the request again.
@@ -169,10 +169,10 @@
   struct CleanUp {
     std::string key;
     std::string token;
-    Instant last_sent{};  // send time of the last attempt to create it
+    Instant last_put{};  // send time of the last attempt to create it
     Instant next_try{};
     bool in_flight = false;
-    Instant asked{};
+    Instant attempted_at{};
   };
 
   // The current lease of the claims with one window length.
@@ -180,7 +180,7 @@
     int64_t lease = 0;
     Instant usable_until{};
     CallTag call = 0;  // of the lease request in flight; 0: none
-    Instant asked{};
+    Instant requested_at{};
   };
 
   using Batch = std::vector<std::string>;  // tokens
--- a/packages/decisions/configuration_codec.cc
+++ b/packages/decisions/configuration_codec.cc
@@ -307,11 +307,12 @@
 ConfigurationChange::Step ConfigurationChange::OnReply(
     const StoreReply& reply) {
   assert(this->phase != Phase::kDone && "the change has already ended");
-  return this->phase == Phase::kReading ? this->Write(reply)
+  return this->phase == Phase::kReading ? this->OnReadReply(reply)
                                         : this->OnWriteReply(reply);
 }
 
-ConfigurationChange::Step ConfigurationChange::Write(const StoreReply& reply) {
+ConfigurationChange::Step ConfigurationChange::OnReadReply(
+    const StoreReply& reply) {
   if (reply.outcome != StoreOutcome::kThen) {
     return ++this->failures < kMaxFailures
                ? Step(ReadConfigurationTransaction())
--- a/packages/decisions/configuration_codec.h
+++ b/packages/decisions/configuration_codec.h
@@ -175,7 +175,7 @@
  private:
   enum class Phase { kReading, kWriting, kDone };
 
-  Step Write(const StoreReply& reply);
+  Step OnReadReply(const StoreReply& reply);
   Step OnWriteReply(const StoreReply& reply);
   Result<Applied> ResolveConflict(const StoreReply& reply) const;
   Step Finish(Result<Applied> result);
--- a/packages/decisions/configuration_replica.cc
+++ b/packages/decisions/configuration_replica.cc
@@ -36,7 +36,7 @@
       limiter(5, std::chrono::seconds(10)) {}
 
 ReplicaActions ConfigurationReplica::SetWatching(Instant now, bool enabled) {
-  if (std::exchange(this->watches, enabled) == enabled) {
+  if (std::exchange(this->should_watch, enabled) == enabled) {
     return {};
   }
   if (!enabled) {
@@ -100,7 +100,7 @@
     }
     Append(actions, this->TryAccept(now));
   }
-  if (this->watches && !this->watch_open) {
+  if (this->should_watch && !this->watch_open) {
     this->watch_open = true;
     actions.push_back({.kind = Kind::kWatch, .store_revision = reply.revision});
   }
@@ -130,7 +130,7 @@
 ReplicaActions ConfigurationReplica::OnPeerRevision(Instant now,
                                                     const HostId& peer,
                                                     int64_t revision) {
-  this->peers[peer] = revision;
+  this->peer_revisions[peer] = revision;
   return revision > this->head.revision ? this->StartCatchUp(now)
                                         : ReplicaActions{};
 }
@@ -152,7 +152,7 @@
 }
 
 void ConfigurationReplica::OnPeerGone(const HostId& peer) {
-  this->peers.erase(peer);
+  this->peer_revisions.erase(peer);
 }
 
 ReplicaActions ConfigurationReplica::OnTick(Instant now) {
@@ -171,7 +171,7 @@
   }
   if (!this->fetching_from.Empty() && now >= this->fetch_deadline) {
     ++this->counts.peer_timeouts;
-    this->tried.push_back(std::exchange(this->fetching_from, HostId()));
+    this->tried_peers.push_back(std::exchange(this->fetching_from, HostId()));
     Append(actions, this->FetchFromNextPeer(now));
   }
   const bool due = this->next_full_read && now >= *this->next_full_read;
@@ -310,8 +310,8 @@
   this->next_confirm = now + this->ConfirmPeriod();
   this->fetching_from = {};
   this->fetch_all = false;
-  this->tried.clear();
-  if (!this->watches || this->watch_open) {
+  this->tried_peers.clear();
+  if (!this->should_watch || this->watch_open) {
     this->next_full_read.reset();
   }
   LogInfo(kPart, "Configuration revision is in force.",
@@ -363,7 +363,7 @@
   if (!this->fetching_from.Empty() || this->reading_all) {
     return {};
   }
-  this->tried.clear();
+  this->tried_peers.clear();
   return this->FetchFromNextPeer(now);
 }
 
@@ -372,9 +372,9 @@
 ReplicaActions ConfigurationReplica::FetchFromNextPeer(Instant now) {
   int64_t newest = this->head.revision + 1;
   std::vector<HostId> candidates;
-  for (const auto& [peer, revision] : this->peers) {
+  for (const auto& [peer, revision] : this->peer_revisions) {
     if (revision < newest ||
-        std::ranges::find(this->tried, peer) != this->tried.end()) {
+        std::ranges::find(this->tried_peers, peer) != this->tried_peers.end()) {
       continue;
     }
     if (revision > newest) {
@@ -383,9 +383,9 @@
     }
     candidates.push_back(peer);
   }
-  if (candidates.empty() ||
-      this->tried.size() >= static_cast<size_t>(this->options.peer_tries)) {
-    this->tried.clear();
+  if (candidates.empty() || this->tried_peers.size() >=
+                                static_cast<size_t>(this->options.peer_tries)) {
+    this->tried_peers.clear();
     return this->ReadAll(now);
   }
   // Chosen at random, so that not all hosts fetch from the same peer at once.
@@ -410,10 +410,11 @@
 void ConfigurationReplica::OnReadFailed(Instant now) {
   ++this->counts.reads_failed;
   const Duration retry_delay = this->backoff.Next();
-  const bool needed = !this->in_force || (this->watches && !this->watch_open) ||
-                      std::ranges::any_of(this->peers, [&](const auto& peer) {
-                        return peer.second > this->head.revision;
-                      });
+  const bool needed =
+      !this->in_force || (this->should_watch && !this->watch_open) ||
+      std::ranges::any_of(this->peer_revisions, [&](const auto& peer) {
+        return peer.second > this->head.revision;
+      });
   if (needed) {
     this->next_full_read = now + retry_delay;
   }
@@ -431,7 +432,7 @@
 
 Duration ConfigurationReplica::ConfirmPeriod() const {
   constexpr int64_t kConfirmsPerLimit = 8;
-  if (this->watches) {
+  if (this->should_watch) {
     return this->options.confirm_period;
   }
   return std::clamp(this->KeyValidity() / kConfirmsPerLimit,
--- a/packages/decisions/configuration_replica.h
+++ b/packages/decisions/configuration_replica.h
@@ -187,14 +187,15 @@
 
   // State being received, and the fetch from a peer.
   Staged staged;
-  std::map<HostId, int64_t> peers;  // by peer: the revision in force there
-  HostId fetching_from;             // peer of the pending fetch; empty: none
-  bool fetch_all = false;           // fetch from revision 0, after a fork
+  std::map<HostId, int64_t>
+      peer_revisions;      // by peer: the revision in force there
+  HostId fetching_from;    // peer of the pending fetch; empty: none
+  bool fetch_all = false;  // fetch from revision 0, after a fork
   Instant fetch_deadline{};
-  std::vector<HostId> tried;  // peers that timed out in this round
+  std::vector<HostId> tried_peers;  // peers that timed out in this round
 
   // Watch and reads of the service.
-  bool watches = false;
+  bool should_watch = false;
   bool watch_open = false;
   bool reading_all = false;
   bool reading_head = false;
--- a/packages/decisions/coordinator.cc
+++ b/packages/decisions/coordinator.cc
@@ -78,12 +78,12 @@
 void Coordinator::OnTick(Instant now, CoordinatorActions& out) {
   this->TickLease(now, out);
   // The reply is lost, so the record is read back.
-  if (this->call && now - this->call->asked >= this->options.call_timeout) {
+  if (this->call && now - this->call->sent_at >= this->options.call_timeout) {
     this->call.reset();
     this->RetryLater(now, &Coordinator::ReadRecord);
   }
   this->Drive(now, out);
-  this->Announce(now, out);
+  this->AnnounceRelease(now, out);
 }
 
 void Coordinator::OnStoreReply(Instant now,
@@ -198,7 +198,7 @@
       this->listed.lower_bound(this->options.lease.host)));
   const auto record_if_unlisted = [this, now](const HostId& holder) {
     if (!this->listed.contains(holder)) {
-      this->left.try_emplace(holder, now);
+      this->unlisted_since.try_emplace(holder, now);
     }
   };
   for (const auto& [id, open] : this->orders) {
@@ -207,7 +207,7 @@
   for (const auto& [number, open] : this->reports) {
     record_if_unlisted(open.open.holder);
   }
-  std::erase_if(this->left, [this](const auto& entry) {
+  std::erase_if(this->unlisted_since, [this](const auto& entry) {
     return this->listed.contains(entry.first);
   });
   this->AgeUsage(now);
@@ -216,9 +216,9 @@
 }
 
 void Coordinator::OnReleased(Instant now,
-                             const Release& release,
+                             const ReleaseNotice& release,
                              CoordinatorActions& out) {
-  Release& latest = this->releases[release.host];
+  ReleaseNotice& latest = this->releases[release.host];
   if (latest.fencing < release.fencing) {
     latest = release;
   }
@@ -273,7 +273,7 @@
   }
   const bool settled = !this->call && !this->AwaitsReplies();
   if (this->stopping && (settled || now >= this->release_until)) {
-    this->End(now, out);
+    this->EndTenure(now, out);
     this->Drive(now, out);
   }
 }
@@ -294,14 +294,14 @@
     std::visit([&out](const auto& each) { out.emplace_back(each); }, action);
   });
   if (this->fencing != 0 && this->lease.Fencing() != this->fencing) {
-    this->End(now, out);
+    this->EndTenure(now, out);
   }
   if (this->fencing == 0 && this->lease.Held()) {
-    this->Begin(now, out);
+    this->BeginTenure(now, out);
   }
 }
 
-void Coordinator::Begin(Instant now, CoordinatorActions& out) {
+void Coordinator::BeginTenure(Instant now, CoordinatorActions& out) {
   assert(this->orders.empty() && this->reports.empty() &&
          "a tenure starts from the stored record alone");
   this->fencing = this->lease.Fencing();
@@ -312,11 +312,12 @@
   this->ReadRecord(now, out);
 }
 
-void Coordinator::End(Instant now, CoordinatorActions& out) {
+void Coordinator::EndTenure(Instant now, CoordinatorActions& out) {
   LogInfo(kPart, "Lease ended.", {{"fencing", std::to_string(this->fencing)}});
-  this->last_release = Release{.host = this->options.lease.host,
-                               .incarnation = this->options.lease.incarnation,
-                               .fencing = this->fencing};
+  this->last_release =
+      ReleaseNotice{.host = this->options.lease.host,
+                    .incarnation = this->options.lease.incarnation,
+                    .fencing = this->fencing};
   this->fencing = 0;
   this->phase = Phase::kIdle;
   this->call.reset();
@@ -327,10 +328,10 @@
   this->stored_revision = 0;
   this->last_window = {};
   this->next_announcement = now;
-  this->Announce(now, out);
+  this->AnnounceRelease(now, out);
 }
 
-void Coordinator::Announce(Instant now, CoordinatorActions& out) {
+void Coordinator::AnnounceRelease(Instant now, CoordinatorActions& out) {
   if (this->last_release && now >= this->next_announcement) {
     out.emplace_back(SendReleaseNotice{.release = *this->last_release});
     this->next_announcement = now + this->options.announce_every;
@@ -386,7 +387,7 @@
 void Coordinator::SendDue(Instant now, CoordinatorActions& out) {
   for (auto& [id, open] : this->orders) {
     if (now >= open.next_send) {
-      this->SendOne(now, open, out);
+      this->SendOpenOrder(now, open, out);
     }
   }
   for (auto& [number, open] : this->reports) {
@@ -396,9 +397,9 @@
   }
 }
 
-void Coordinator::SendOne(Instant now,
-                          OpenOrder& open,
-                          CoordinatorActions& out) {
+void Coordinator::SendOpenOrder(Instant now,
+                                OpenOrder& open,
+                                CoordinatorActions& out) {
   const Order& order = open.order;
   const bool unrecorded = open.stage == Stage::kProposed;
   if (open.stage == Stage::kFinished ||
@@ -467,8 +468,8 @@
   if (latest != this->incarnations.end() && latest->second > incarnation) {
     return true;
   }
-  const auto unlisted = this->left.find(holder);
-  return unlisted != this->left.end() &&
+  const auto unlisted = this->unlisted_since.find(holder);
+  return unlisted != this->unlisted_since.end() &&
          now - unlisted->second >= this->options.unlisted_timeout;
 }
 
@@ -488,7 +489,7 @@
     const bool expired = now - entry.second.since >=
                          kUsageRetentionFactor * this->options.usage_retention;
     if (expired && this->SourceEnded(now, entry.first)) {
-      this->ledger.Forget(entry.first);
+      this->ledger.Remove(entry.first);
       return true;
     }
     return false;
--- a/packages/decisions/coordinator.h
+++ b/packages/decisions/coordinator.h
@@ -85,18 +85,18 @@
 
 // A holder's notice that it has stopped: its host sends no further byte of this
 // tenure or of an earlier one.
-struct Release {
+struct ReleaseNotice {
   HostId host;
   uint64_t incarnation = 0;
   int64_t fencing = 0;
 
-  bool operator==(const Release&) const = default;
+  bool operator==(const ReleaseNotice&) const = default;
 };
 
 // Sends a release notice to every host of the data centre. Repeated every
 // `announce_every`, as it may be lost.
 struct SendReleaseNotice {
-  Release release;
+  ReleaseNotice release;
 
   bool operator==(const SendReleaseNotice&) const = default;
 };
@@ -244,7 +244,9 @@
 
   // Messages of a peer: its release notice, or only its incarnation (from its
   // digests), which proves that its earlier incarnations have stopped.
-  void OnReleased(Instant now, const Release& release, CoordinatorActions& out);
+  void OnReleased(Instant now,
+                  const ReleaseNotice& release,
+                  CoordinatorActions& out);
   void OnPeer(Instant now,
               const HostId& host,
               uint64_t incarnation,
@@ -300,7 +302,7 @@
                                           const StoreReply&,
                                           CoordinatorActions&);
     CallTag tag = 0;
-    Instant asked{};
+    Instant sent_at{};
     Handler handler = nullptr;
   };
 
@@ -312,15 +314,15 @@
   void ApplyLeaseActions(Instant now,
                          const std::vector<LeaseAction>& lease_actions,
                          CoordinatorActions& out);
-  void Begin(Instant now, CoordinatorActions& out);
-  void End(Instant now, CoordinatorActions& out);
-  void Announce(Instant now, CoordinatorActions& out);
+  void BeginTenure(Instant now, CoordinatorActions& out);
+  void EndTenure(Instant now, CoordinatorActions& out);
+  void AnnounceRelease(Instant now, CoordinatorActions& out);
   void Transact(Instant now,
                 StoreTransaction transaction,
                 Call::Handler handler,
                 CoordinatorActions& out);
   void RetryLater(Instant now, Step step);
-  StoreCompare LeaseStands() const;
+  StoreCompare LeaseHeldCondition() const;
   bool CheckLease(Instant now,
                   const StoreReply& reply,
                   CoordinatorActions& out);
@@ -328,7 +330,9 @@
   void OnRecordRead(Instant now,
                     const StoreReply& reply,
                     CoordinatorActions& out);
-  void Adopt(Instant now, const StoreReply& reply, CoordinatorActions& out);
+  void LoadRecord(Instant now,
+                  const StoreReply& reply,
+                  CoordinatorActions& out);
   std::vector<int64_t> MissingWindows() const;
   void ReadWindows(Instant now, CoordinatorActions& out);
   void OnWindowsRead(Instant now,
@@ -349,7 +353,7 @@
                   uint64_t incarnation,
                   bool to_platform) const;
   void SendDue(Instant now, CoordinatorActions& out);
-  void SendOne(Instant now, OpenOrder& open, CoordinatorActions& out);
+  void SendOpenOrder(Instant now, OpenOrder& open, CoordinatorActions& out);
   void SendReport(Instant now, OpenReport& open, CoordinatorActions& out);
   bool HolderStopped(Instant now,
                      int64_t fencing,
@@ -381,9 +385,9 @@
   Instant next_window{};
   Instant release_until{};
   Instant next_announcement{};
-  std::optional<Release> last_release;
-  std::map<HostId, Release> releases;       // the latest of each host
-  std::map<HostId, uint64_t> incarnations;  // the latest of each host
+  std::optional<ReleaseNotice> last_release;
+  std::map<HostId, ReleaseNotice> releases;  // the latest of each host
+  std::map<HostId, uint64_t> incarnations;   // the latest of each host
   // The sum of each source's counters, and since when it hasn't grown.
   struct SourceAge {
     int64_t total = -1;
@@ -391,7 +395,7 @@
   };
   std::map<UsageSource, SourceAge> ages;
   std::set<HostId> listed;
-  std::map<HostId, Instant> left;  // of unlisted holders
+  std::map<HostId, Instant> unlisted_since;  // of unlisted holders
 };
 
 }  // namespace hickorystand
--- a/packages/decisions/coordinator_record.cc
+++ b/packages/decisions/coordinator_record.cc
@@ -23,7 +23,7 @@
                            CoordinatorActions& out) {
   assert(!this->call && "one transaction at a time on the record");
   this->call =
-      Call{.tag = this->lease.NextTag(), .asked = now, .handler = handler};
+      Call{.tag = this->lease.NextTag(), .sent_at = now, .handler = handler};
   out.emplace_back(RunTransaction{.tag = this->call->tag,
                                   .transaction = std::move(transaction)});
 }
@@ -38,7 +38,7 @@
 // The condition of every transaction: this tenure's lease record still exists.
 // Without it a write that is delayed past the end of the lease would take
 // effect.
-StoreCompare Coordinator::LeaseStands() const {
+StoreCompare Coordinator::LeaseHeldCondition() const {
   return {.key = LeaseKey(this->options.lease.data_centre),
           .field = StoreCompare::Field::kCreateRevision,
           .revision = this->fencing};
@@ -55,7 +55,7 @@
     return true;
   }
   std::vector<LeaseAction> lease_actions;
-  this->lease.Lose(now, lease_actions);
+  this->lease.EndTenure(now, lease_actions);
   this->ApplyLeaseActions(now, lease_actions, out);
   return false;
 }
@@ -63,7 +63,7 @@
 void Coordinator::ReadRecord(Instant now, CoordinatorActions& out) {
   const DataCentreId& data_centre = this->options.lease.data_centre;
   this->Transact(now,
-                 {.conditions = {this->LeaseStands()},
+                 {.conditions = {this->LeaseHeldCondition()},
                   .then = {StoreGet(OrderRecordKey(data_centre))},
                   .otherwise = {StoreGet(LeaseKey(data_centre))}},
                  &Coordinator::OnRecordRead, out);
@@ -73,7 +73,7 @@
                                const StoreReply& reply,
                                CoordinatorActions& out) {
   if (reply.outcome == StoreOutcome::kThen) {
-    this->Adopt(now, reply, out);
+    this->LoadRecord(now, reply, out);
   } else if (reply.outcome != StoreOutcome::kOtherwise ||
              this->CheckLease(now, reply, out)) {
     this->RetryLater(now, &Coordinator::ReadRecord);
@@ -83,9 +83,9 @@
 // Loads the record from a reply. The stored content alone decides what counts
 // as recorded: whether an own write whose reply was lost took effect, and what
 // earlier holders started.
-void Coordinator::Adopt(Instant now,
-                        const StoreReply& reply,
-                        CoordinatorActions& out) {
+void Coordinator::LoadRecord(Instant now,
+                             const StoreReply& reply,
+                             CoordinatorActions& out) {
   const StoreRecord* record =
       FindRecord(reply, OrderRecordKey(this->options.lease.data_centre));
   this->stored_revision = record == nullptr ? 0 : record->mod_revision;
@@ -143,7 +143,7 @@
   }
   this->phase = Phase::kReadingWindows;
   const DataCentreId& data_centre = this->options.lease.data_centre;
-  StoreTransaction transaction{.conditions = {this->LeaseStands()},
+  StoreTransaction transaction{.conditions = {this->LeaseHeldCondition()},
                                .otherwise = {StoreGet(LeaseKey(data_centre))}};
   std::ranges::transform(missing | std::views::take(kWindowsPerRead),
                          std::back_inserter(transaction.then),
@@ -215,7 +215,7 @@
   const std::string key = OrderRecordKey(data_centre);
   OrderRecord content = this->Content();
   StoreTransaction transaction{
-      .conditions = {this->LeaseStands(),
+      .conditions = {this->LeaseHeldCondition(),
                      {.key = key,
                       .field = StoreCompare::Field::kModRevision,
                       .revision = this->stored_revision}},
@@ -297,7 +297,7 @@
       // An own write whose reply was lost took effect before this one, or the
       // lease has ended.
       if (this->CheckLease(now, reply, out)) {
-        this->Adopt(now, reply, out);
+        this->LoadRecord(now, reply, out);
       }
       break;
     case StoreOutcome::kNotApplied:
--- a/packages/decisions/digest.h
+++ b/packages/decisions/digest.h
@@ -49,13 +49,13 @@
 };
 
 // An endpoint's state as observed by this host itself.
-struct EndpointNews {
+struct EndpointStatus {
   EndpointId endpoint;
   uint64_t incarnation = 0;
   bool leaving = false;
   bool down = false;
 
-  auto operator<=>(const EndpointNews&) const = default;
+  auto operator<=>(const EndpointStatus&) const = default;
 };
 
 struct Digest {
@@ -68,7 +68,7 @@
   std::vector<EndpointOutstanding> outstanding;
   std::vector<AccountServed> served;
   std::vector<Suspicion> suspicions;
-  std::vector<EndpointNews> endpoints;
+  std::vector<EndpointStatus> endpoints;
 
   bool operator==(const Digest&) const = default;
 };
--- a/packages/decisions/digest_delta.cc
+++ b/packages/decisions/digest_delta.cc
@@ -62,7 +62,7 @@
           .waiting = values.second};
 }
 
-EndpointNews MakeStatus(const std::string& id, Values values) {
+EndpointStatus MakeStatus(const std::string& id, Values values) {
   return {.endpoint = EndpointId(id),
           .incarnation = static_cast<uint64_t>(values.first),
           .leaving = (values.second & kLeavingBit) != 0,
@@ -147,7 +147,7 @@
   return changed;
 }
 
-void SentEntries::Forget(uint64_t acknowledged) {
+void SentEntries::FreeRemoved(uint64_t acknowledged) {
   for (size_t i = 0; i < this->entries.size(); ++i) {
     Entry& entry = this->entries[i];
     if (!entry.id.empty() && entry.values == Values{} &&
@@ -159,7 +159,7 @@
   }
 }
 
-size_t SentEntries::Gone() const {
+size_t SentEntries::RemovedCount() const {
   return std::ranges::count_if(this->entries, [](const Entry& entry) {
     return !entry.id.empty() && entry.values == Values{};
   });
@@ -190,9 +190,10 @@
 }
 
 void DigestSender::FreeRemovedEntries() {
-  const bool too_many = this->outstanding.Gone() > this->options.max_removed ||
-                        this->served.Gone() > this->options.max_removed ||
-                        this->endpoints.Gone() > this->options.max_removed;
+  const bool too_many =
+      this->outstanding.RemovedCount() > this->options.max_removed ||
+      this->served.RemovedCount() > this->options.max_removed ||
+      this->endpoints.RemovedCount() > this->options.max_removed;
   uint64_t acknowledged = this->state.sequence;
   for (auto& [id, receiver] : this->receivers) {
     if (too_many && receiver.acked + 1 < this->state.sequence) {
@@ -209,9 +210,9 @@
     return;
   }
   acknowledged -= this->options.removed_retention;
-  this->outstanding.Forget(acknowledged);
-  this->served.Forget(acknowledged);
-  this->endpoints.Forget(acknowledged);
+  this->outstanding.FreeRemoved(acknowledged);
+  this->served.FreeRemoved(acknowledged);
+  this->endpoints.FreeRemoved(acknowledged);
 }
 
 void DigestSender::OnConnected(const HostId& receiver,
--- a/packages/decisions/digest_delta.h
+++ b/packages/decisions/digest_delta.h
@@ -114,10 +114,10 @@
 
   // Frees the indexes of entries that were removed at or before this sequence,
   // which all receivers have acknowledged.
-  void Forget(uint64_t acknowledged);
+  void FreeRemoved(uint64_t acknowledged);
 
   // The number of removed entries whose indexes are not yet freed.
-  size_t Gone() const;
+  size_t RemovedCount() const;
 
  private:
   struct Entry {
--- a/packages/decisions/digest_summary.cc
+++ b/packages/decisions/digest_summary.cc
@@ -36,21 +36,22 @@
   source.incarnation = digest.incarnation;
   source.sequence = digest.sequence;
   source.digest = digest;
-  std::erase(this->gone, digest.host);
+  std::erase(this->departed, digest.host);
 }
 
 void DigestSummary::OnGone(const HostId& source) {
   const auto found = this->sources.find(source);
-  if (found == this->sources.end() || std::ranges::count(this->gone, source)) {
+  if (found == this->sources.end() ||
+      std::ranges::count(this->departed, source)) {
     return;
   }
   // The counters are retained, as the source may only be unreachable for a
   // while.
   found->second.digest = {};
-  this->gone.push_back(source);
-  if (this->gone.size() > kMaxRetainedSources) {
-    this->sources.erase(this->gone.front());
-    this->gone.pop_front();
+  this->departed.push_back(source);
+  if (this->departed.size() > kMaxRetainedSources) {
+    this->sources.erase(this->departed.front());
+    this->departed.pop_front();
   }
 }
 
@@ -63,7 +64,7 @@
   sum.incarnation = incarnation;
   std::map<EndpointId, EndpointOutstanding> outstanding;
   std::map<uint64_t, int64_t> crashes;
-  std::map<EndpointId, EndpointNews> leaving;
+  std::map<EndpointId, EndpointStatus> leaving;
   for (const auto& [id, source] : this->sources) {
     for (const auto& entry : source.digest.outstanding) {
       auto& total = outstanding[entry.endpoint];
--- a/packages/decisions/digest_summary.h
+++ b/packages/decisions/digest_summary.h
@@ -56,7 +56,7 @@
   void Count(Source& source, const Digest& digest);
 
   std::map<HostId, Source> sources;
-  std::deque<HostId> gone;  // sources that have left, oldest first
+  std::deque<HostId> departed;  // sources that have left, oldest first
   std::map<AccountId, int64_t> served;
 };
 
--- a/packages/decisions/endpoint_status_table.cc
+++ b/packages/decisions/endpoint_status_table.cc
@@ -19,8 +19,8 @@
   return &state;
 }
 
-void EndpointStatusTable::OnNews(const HostId& from,
-                                 const EndpointNews& report) {
+void EndpointStatusTable::OnReport(const HostId& from,
+                                   const EndpointStatus& report) {
   State* state = this->Current(report.endpoint, report.incarnation);
   if (state == nullptr) {
     return;
@@ -34,17 +34,18 @@
   }
 }
 
-void EndpointStatusTable::OnNews(const HostId& from,
-                                 const std::vector<EndpointNews>& reports) {
+void EndpointStatusTable::OnReport(const HostId& from,
+                                   const std::vector<EndpointStatus>& reports) {
   for (auto& [id, state] : this->states) {
-    const auto report = std::ranges::find(reports, id, &EndpointNews::endpoint);
+    const auto report =
+        std::ranges::find(reports, id, &EndpointStatus::endpoint);
     if (report == reports.end()) {
       state.down.erase(from);
       state.refuted.erase(from);
     }
   }
   for (const auto& status : reports) {
-    this->OnNews(from, status);
+    this->OnReport(from, status);
   }
 }
 
@@ -68,7 +69,7 @@
   });
 }
 
-bool EndpointStatusTable::Out(const EndpointId& endpoint) const {
+bool EndpointStatusTable::IsUnavailable(const EndpointId& endpoint) const {
   const auto found = this->states.find(endpoint);
   if (found == this->states.end()) {
     return false;
@@ -80,8 +81,8 @@
          });
 }
 
-std::vector<EndpointNews> EndpointStatusTable::Leaving() const {
-  std::vector<EndpointNews> leaving;
+std::vector<EndpointStatus> EndpointStatusTable::Leaving() const {
+  std::vector<EndpointStatus> leaving;
   for (const auto& [id, state] : this->states) {
     if (state.leaving) {
       leaving.push_back(
--- a/packages/decisions/endpoint_status_table.h
+++ b/packages/decisions/endpoint_status_table.h
@@ -25,10 +25,10 @@
  public:
   // Sets all current reports of a host. An earlier "down" report that is
   // missing now is withdrawn.
-  void OnNews(const HostId& from, const std::vector<EndpointNews>& reports);
+  void OnReport(const HostId& from, const std::vector<EndpointStatus>& reports);
 
   // Handles a single report of a host, ahead of its next digest.
-  void OnNews(const HostId& from, const EndpointNews& report);
+  void OnReport(const HostId& from, const EndpointStatus& report);
 
   // Call when this host got a response from an endpoint.
   void OnAlive(const EndpointId& endpoint, uint64_t incarnation);
@@ -40,10 +40,10 @@
   void Keep(const std::set<EndpointId>& endpoints);
 
   // Whether an endpoint must get no new work.
-  bool Out(const EndpointId& endpoint) const;
+  bool IsUnavailable(const EndpointId& endpoint) const;
 
   // The endpoints that are leaving, to be reported to other data centres.
-  std::vector<EndpointNews> Leaving() const;
+  std::vector<EndpointStatus> Leaving() const;
 
  private:
   struct State {
--- a/packages/decisions/engine_cache.cc
+++ b/packages/decisions/engine_cache.cc
@@ -4,7 +4,7 @@
 
 namespace hickorystand {
 
-void EngineCache::Keep(const PartTokens& part, int64_t room, bool confirmed) {
+void EngineCache::Add(const PartTokens& part, int64_t room, bool confirmed) {
   if (const auto found = this->entries.find(part.part);
       found != this->entries.end()) {
     found->second.confirmed = found->second.confirmed || confirmed;
@@ -24,7 +24,7 @@
   }
 }
 
-void EngineCache::Drop(uint64_t part) {
+void EngineCache::Remove(uint64_t part) {
   const auto found = this->entries.find(part);
   if (found != this->entries.end()) {
     this->total -= found->second.tokens;
@@ -36,7 +36,7 @@
 void EngineCache::RemoveUnconfirmed(uint64_t part) {
   const auto found = this->entries.find(part);
   if (found != this->entries.end() && !found->second.confirmed) {
-    this->Drop(part);
+    this->Remove(part);
   }
 }
 
@@ -51,8 +51,8 @@
   return parts;
 }
 
-int64_t EngineCache::Kept(const std::vector<PartTokens>& parts,
-                          bool confirmed_only) const {
+int64_t EngineCache::CachedPrefixTokens(const std::vector<PartTokens>& parts,
+                                        bool confirmed_only) const {
   // A cached part can be used only if all parts before it are cached.
   int64_t kept = 0;
   for (const PartTokens& part : parts) {
--- a/packages/decisions/engine_cache.h
+++ b/packages/decisions/engine_cache.h
@@ -31,10 +31,10 @@
   // Inserts a part, or marks it as most recently used, and evicts the least
   // recently used parts beyond `room` tokens. `confirmed`: the part is
   // prefilled; otherwise its prefill is still pending.
-  void Keep(const PartTokens& part, int64_t room, bool confirmed);
+  void Add(const PartTokens& part, int64_t room, bool confirmed);
 
   // Removes a part that the engine has evicted.
-  void Drop(uint64_t part);
+  void Remove(uint64_t part);
 
   // Removes a part unless it is confirmed.
   void RemoveUnconfirmed(uint64_t part);
@@ -43,7 +43,8 @@
   std::vector<PartTokens> Confirmed() const;
 
   // Length in tokens of the cached prefix of a prompt.
-  int64_t Kept(const std::vector<PartTokens>& parts, bool confirmed_only) const;
+  int64_t CachedPrefixTokens(const std::vector<PartTokens>& parts,
+                             bool confirmed_only) const;
 
  private:
   struct Entry {
--- a/packages/decisions/engine_pace.cc
+++ b/packages/decisions/engine_pace.cc
@@ -51,12 +51,12 @@
 
 EnginePace::EnginePace(const EnginePaceOptions& guess)
     : guess(guess),
-      copied_tokens(guess.copied_tokens),
-      token_prefill(SecondsPerToken(guess.prompt_tokens)),
-      token_decode(
-          SecondsPerToken(guess.prompt_tokens * guess.decode_role_share)),
+      transfer_rate(guess.transfer_tokens_per_second),
+      token_prefill(SecondsPerToken(guess.prefill_tokens_per_second)),
+      token_decode(SecondsPerToken(guess.prefill_tokens_per_second *
+                                   guess.decode_role_share)),
       first_token(ToSeconds(guess.first_token)),
-      after_reading(ToSeconds(guess.after_reading)),
+      first_token_after_handover(ToSeconds(guess.first_token_after_handover)),
       copy_setup(ToSeconds(guess.copy_setup)) {}
 
 double EnginePace::PrefillTokensPerSecond(EndpointRole role) const {
@@ -75,10 +75,10 @@
 
 double EnginePace::TransferSeconds(int64_t tokens) const {
   return this->copy_setup.Seconds() +
-         static_cast<double>(tokens) / this->copied_tokens;
+         static_cast<double>(tokens) / this->transfer_rate;
 }
 
-void EnginePace::OnRead(const PrefillMeasurement& measurement) {
+void EnginePace::OnPrefill(const PrefillMeasurement& measurement) {
   const bool is_prefill = measurement.role == EndpointRole::kPrefill;
   const auto tokens = static_cast<double>(measurement.tokens);
   const auto all = static_cast<double>(measurement.tokens +
@@ -90,7 +90,7 @@
     if (measurement.queued_tokens_before == 0) {
       const double setup =
           took - delay - tokens / rate -
-          static_cast<double>(measurement.copied_tokens) / this->copied_tokens;
+          static_cast<double>(measurement.copied_tokens) / this->transfer_rate;
       this->copy_setup.Add(std::max(setup, kMinSeconds));
     }
     return;
@@ -106,7 +106,7 @@
 }
 
 void EnginePace::OnFirstTokenAfterHandover(Duration took) {
-  this->after_reading.Add(std::max(ToSeconds(took), kMinSeconds));
+  this->first_token_after_handover.Add(std::max(ToSeconds(took), kMinSeconds));
 }
 
 PaceFigures EnginePace::Figures() const {
@@ -114,11 +114,12 @@
     return PaceFigures::Figure{.seconds = time.Seconds(),
                                .measurements = time.Measurements()};
   };
-  return {.token_prefill = figure(this->token_prefill),
-          .token_decode = figure(this->token_decode),
-          .first_token = figure(this->first_token),
-          .after_reading = figure(this->after_reading),
-          .copy_setup = figure(this->copy_setup)};
+  return {
+      .token_prefill = figure(this->token_prefill),
+      .token_decode = figure(this->token_decode),
+      .first_token = figure(this->first_token),
+      .first_token_after_handover = figure(this->first_token_after_handover),
+      .copy_setup = figure(this->copy_setup)};
 }
 
 void EnginePace::Adopt(const PaceFigures& received) {
@@ -126,7 +127,8 @@
       std::pair(&this->token_prefill, &received.token_prefill),
       std::pair(&this->token_decode, &received.token_decode),
       std::pair(&this->first_token, &received.first_token),
-      std::pair(&this->after_reading, &received.after_reading),
+      std::pair(&this->first_token_after_handover,
+                &received.first_token_after_handover),
       std::pair(&this->copy_setup, &received.copy_setup)};
   for (const auto& [own, figure] : pairs) {
     own->Adopt(figure->seconds, figure->measurements);
--- a/packages/decisions/engine_pace.h
+++ b/packages/decisions/engine_pace.h
@@ -48,11 +48,12 @@
 
 // The values used until the first measurement.
 struct EnginePaceOptions {
-  double prompt_tokens = 37900;    // per second, in the prefill role
-  double decode_role_share = 0.5;  // of that rate, in the decode role
-  double copied_tokens = 2.5e6;  // per second, transferred from another engine
+  double prefill_tokens_per_second = 37900;  // per second, in the prefill role
+  double decode_role_share = 0.5;            // of that rate, in the decode role
+  double transfer_tokens_per_second =
+      2.5e6;  // per second, transferred from another engine
   Duration first_token = std::chrono::milliseconds(24);  // without prefill
-  Duration after_reading = std::chrono::milliseconds(44);
+  Duration first_token_after_handover = std::chrono::milliseconds(44);
   Duration copy_setup = std::chrono::milliseconds(6);
 
   auto operator<=>(const EnginePaceOptions&) const = default;
@@ -69,7 +70,7 @@
   Figure token_prefill;  // per prompt token
   Figure token_decode;
   Figure first_token;
-  Figure after_reading;
+  Figure first_token_after_handover;
   Figure copy_setup;
 
   auto operator<=>(const PaceFigures&) const = default;
@@ -95,10 +96,10 @@
   // Sets the transfer rate between engines, where the configuration specifies
   // it.
   void SetTransferRate(double tokens_per_second) {
-    this->copied_tokens = tokens_per_second;
+    this->transfer_rate = tokens_per_second;
   }
 
-  void OnRead(const PrefillMeasurement& measurement);
+  void OnPrefill(const PrefillMeasurement& measurement);
 
   // Records the time to the first token of an answer whose prompt another
   // engine had prefilled.
@@ -113,7 +114,7 @@
   // Seconds to the first token of an answer whose prompt another engine has
   // prefilled.
   double FirstTokenAfterHandover() const {
-    return this->after_reading.Seconds();
+    return this->first_token_after_handover.Seconds();
   }
 
   // Seconds to transfer tokens from an engine in the same zone.
@@ -126,11 +127,11 @@
 
  private:
   EnginePaceOptions guess;
-  double copied_tokens;
+  double transfer_rate;
   TypicalTime token_prefill;
   TypicalTime token_decode;
   TypicalTime first_token;
-  TypicalTime after_reading;
+  TypicalTime first_token_after_handover;
   TypicalTime copy_setup;
 };
 
--- a/packages/decisions/fleet_clock.cc
+++ b/packages/decisions/fleet_clock.cc
@@ -17,10 +17,11 @@
 }  // namespace
 
 void FleetClock::OnPeer(const HostId& host, int64_t unix_ms, int64_t boot_ms) {
-  if (!this->others.contains(host) && this->others.size() >= kMaxHosts) {
+  if (!this->reported_offsets.contains(host) &&
+      this->reported_offsets.size() >= kMaxHosts) {
     return;
   }
-  std::deque<int64_t>& reports = this->others[host];
+  std::deque<int64_t>& reports = this->reported_offsets[host];
   reports.push_back(unix_ms - boot_ms);
   if (reports.size() > kReportsPerHost) {
     reports.pop_front();
@@ -31,15 +32,15 @@
 // have started with a wrong time of day. With two hosts, the other one's time
 // is therefore used.
 int64_t FleetClock::Offset() const {
-  if (this->others.empty()) {
-    return this->own;
+  if (this->reported_offsets.empty()) {
+    return this->own_offset;
   }
   std::vector<int64_t> offsets;
-  for (const auto& [host, reports] : this->others) {
+  for (const auto& [host, reports] : this->reported_offsets) {
     offsets.push_back(std::ranges::max(reports));
   }
   if (offsets.size() % 2 == 0) {
-    offsets.push_back(this->own);
+    offsets.push_back(this->own_offset);
   }
   const auto middle =
       offsets.begin() + static_cast<std::ptrdiff_t>(offsets.size() / 2);
--- a/packages/decisions/fleet_clock.h
+++ b/packages/decisions/fleet_clock.h
@@ -20,7 +20,8 @@
 class FleetClock {
  public:
   // The host's time of day at its start.
-  FleetClock(int64_t unix_ms, int64_t boot_ms) : own(unix_ms - boot_ms) {}
+  FleetClock(int64_t unix_ms, int64_t boot_ms)
+      : own_offset(unix_ms - boot_ms) {}
 
   // Records the time of day that another host has just reported.
   void OnPeer(const HostId& host, int64_t unix_ms, int64_t boot_ms);
@@ -31,8 +32,9 @@
  private:
   int64_t Offset() const;
 
-  int64_t own = 0;  // Unix time when the clock since boot was 0
-  std::map<HostId, std::deque<int64_t>> others;  // latest reported offsets
+  int64_t own_offset = 0;  // Unix time when the clock since boot was 0
+  std::map<HostId, std::deque<int64_t>>
+      reported_offsets;  // latest reported offsets
 };
 
 }  // namespace hickorystand
--- a/packages/decisions/fleet_placement.cc
+++ b/packages/decisions/fleet_placement.cc
@@ -56,7 +56,8 @@
 int64_t CachedTokens(const EngineCache& cache,
                      const RequestProfile& shape,
                      bool confirmed_only) {
-  return std::min(cache.Kept(shape.parts, confirmed_only), shape.prompt_tokens);
+  return std::min(cache.CachedPrefixTokens(shape.parts, confirmed_only),
+                  shape.prompt_tokens);
 }
 
 Duration TargetOf(const RequestProfile& shape) {
@@ -73,9 +74,9 @@
   }
   EngineCache& cache = found->second.cache;
   if (part.tokens == 0) {
-    cache.Drop(part.part);
+    cache.Remove(part.part);
   } else {
-    cache.Keep(part, this->CacheCapacity(found->second.endpoint.service), true);
+    cache.Add(part, this->CacheCapacity(found->second.endpoint.service), true);
   }
 }
 
@@ -86,7 +87,7 @@
   }
 }
 
-bool FleetPlacement::Knows(const EndpointRun& run) const {
+bool FleetPlacement::IsListed(const EndpointRun& run) const {
   const auto found = this->states.find(run.id);
   return found != this->states.end() && found->second.endpoint.run == run;
 }
@@ -113,9 +114,10 @@
 
 void FleetPlacement::SetServiceParameters(const ServiceId& service,
                                           const ServiceParameters& share) {
-  this->shares[service] = share;
-  if (share.copied_tokens > 0) {
-    this->MutablePace(service).SetTransferRate(share.copied_tokens);
+  this->service_parameters[service] = share;
+  if (share.transfer_tokens_per_second > 0) {
+    this->MutablePace(service).SetTransferRate(
+        share.transfer_tokens_per_second);
   }
 }
 
@@ -149,8 +151,9 @@
 }
 
 int64_t FleetPlacement::CacheCapacity(const ServiceId& service) const {
-  const auto share = this->shares.find(service);
-  return share != this->shares.end() && share->second.cache_tokens > 0
+  const auto share = this->service_parameters.find(service);
+  return share != this->service_parameters.end() &&
+                 share->second.cache_tokens > 0
              ? share->second.cache_tokens
              : this->options.cache_tokens;
 }
@@ -214,9 +217,9 @@
 
 // The engine with the longest cached prefix of the prompt. A draining engine
 // still serves as a transfer source.
-FleetPlacement::Source FleetPlacement::BestSource(
+FleetPlacement::PrefixSource FleetPlacement::BestSource(
     const RequestProfile& shape) const {
-  Source best;
+  PrefixSource best;
   for (const auto& [id, state] : this->states) {
     if (state.endpoint.service != shape.service ||
         state.consecutive_failures >= this->options.failures_to_eject - 1) {
@@ -239,13 +242,13 @@
          now >= found->second.excluded_until;
 }
 
-bool FleetPlacement::Takes(Instant now,
-                           const State& state,
-                           const RequestProfile& shape,
-                           const std::set<EndpointId>& tried) const {
+bool FleetPlacement::CanAccept(Instant now,
+                               const State& state,
+                               const RequestProfile& shape,
+                               const std::set<EndpointId>& tried) const {
   const EndpointId& id = state.endpoint.run.id;
-  const auto share = this->shares.find(shape.service);
-  if (share != this->shares.end() &&
+  const auto share = this->service_parameters.find(shape.service);
+  if (share != this->service_parameters.end() &&
       state.running >= share->second.max_concurrent_requests) {
     return false;
   }
@@ -286,18 +289,20 @@
 double FleetPlacement::DecodeStall(Instant now,
                                    const State& state,
                                    const RequestProfile& shape,
-                                   const Reading& reading) const {
-  const auto share = this->shares.find(shape.service);
-  const double pause =
-      share == this->shares.end() ? 0 : ToSeconds(share->second.pause_target);
+                                   const PrefillEstimate& reading) const {
+  const auto share = this->service_parameters.find(shape.service);
+  const double pause = share == this->service_parameters.end()
+                           ? 0
+                           : ToSeconds(share->second.pause_target);
   const bool too_long =
-      pause > 0 && reading.all > this->options.max_decode_stall_share * pause;
+      pause > 0 &&
+      reading.total_seconds > this->options.max_decode_stall_share * pause;
   const double crowded = reading.tokens > this->options.short_prompt_tokens
                              ? this->PauseShare(now, shape.service, pause)
                              : 0;
   const auto streams =
       static_cast<double>(this->Running(state.endpoint.run.id));
-  return this->options.decode_stall_weight * streams * reading.own +
+  return this->options.decode_stall_weight * streams * reading.own_seconds +
          this->options.pause_penalty * pause *
              std::max(too_long ? 1.0 : 0.0, crowded);
 }
@@ -306,7 +311,7 @@
     Instant now,
     const State& state,
     const RequestProfile& shape,
-    const Source& source) const {
+    const PrefixSource& source) const {
   const EndpointId& id = state.endpoint.run.id;
   const EnginePace& pace = this->Pace(shape.service);
   const double rate = this->Rate(state);
@@ -326,7 +331,7 @@
       static_cast<double>(std::max<int64_t>(new_tokens - own, 0));
   const bool is_prefill = state.endpoint.role == EndpointRole::kPrefill;
   const double queue_seconds =
-      static_cast<double>(state.waiting_tokens +
+      static_cast<double>(state.queued_tokens +
                           this->PeerWork(id).prompt_tokens) /
       rate;
   const double prefill_seconds =
@@ -335,21 +340,22 @@
       prefill_seconds + transfer_seconds +
       (is_prefill ? pace.FirstTokenAfterHandover() : pace.FirstToken());
   const double decode_stall =
-      is_prefill ? 0
-                 : this->StreamPenalty(state, shape) +
-                       this->DecodeStall(
-                           now, state, shape,
-                           {.tokens = new_tokens,
-                            .own = static_cast<double>(new_tokens) / rate,
-                            .all = prefill_seconds});
+      is_prefill
+          ? 0
+          : this->StreamPenalty(state, shape) +
+                this->DecodeStall(
+                    now, state, shape,
+                    {.tokens = new_tokens,
+                     .own_seconds = static_cast<double>(new_tokens) / rate,
+                     .total_seconds = prefill_seconds});
   return {.endpoint = id,
           .score = seconds + this->Penalty(state, shape) + decode_stall +
                    (this->options.miss_weight - 1) * missed_tokens / rate,
           .seconds = seconds,
-          .waiting = queue_seconds,
+          .queue_seconds = queue_seconds,
           .new_tokens = new_tokens,
           .copied_tokens = copied,
-          .reader = is_prefill};
+          .is_prefill = is_prefill};
 }
 
 // Adds a penalty for each engine's rank in the weighted rendezvous order of the
@@ -398,27 +404,28 @@
       .endpoint = state.endpoint.run.id,
       .score = call_seconds * outstanding / slots + this->Penalty(state, shape),
       .seconds = outstanding / slots > this->options.plain_queue_per_slot
-                     ? ToSeconds(shape.patience) + seconds
+                     ? ToSeconds(shape.max_first_byte_wait) + seconds
                      : seconds};
 }
 
 // Refuses a request that no endpoint can answer in time, or whose queueing time
 // would make every queued request late.
-std::optional<Refused> FleetPlacement::RefuseIfTooLate(
+std::optional<PlacementRefusal> FleetPlacement::RefuseIfTooLate(
     const RequestProfile& shape,
     const std::vector<ScoredEndpoint>& weighed,
     const ScoredEndpoint& best) const {
   const double soonest =
       std::ranges::min(weighed, {}, &ScoredEndpoint::seconds).seconds;
-  const double excess_latency = soonest - ToSeconds(shape.patience);
+  const double excess_latency = soonest - ToSeconds(shape.max_first_byte_wait);
   const double excess_queueing =
-      shape.begun ? 0
-                  : best.waiting - this->options.max_queue_wait_share *
-                                       ToSeconds(TargetOf(shape));
+      shape.in_progress
+          ? 0
+          : best.queue_seconds -
+                this->options.max_queue_wait_share * ToSeconds(TargetOf(shape));
   if (std::max(excess_latency, excess_queueing) <= 0) {
     return {};
   }
-  return Refused{
+  return PlacementRefusal{
       .reason = "overloaded",
       .retry_after = FromSeconds(std::max(excess_latency, excess_queueing))};
 }
@@ -427,20 +434,21 @@
                                       const RequestProfile& shape,
                                       const std::set<EndpointId>& tried) const {
   std::vector<ScoredEndpoint> weighed;
-  const Source source = shape.engine ? this->BestSource(shape) : Source();
+  const PrefixSource source =
+      shape.engine ? this->BestSource(shape) : PrefixSource();
   bool any_answers = false;
   for (const auto& [id, state] : this->states) {
-    if (!this->Takes(now, state, shape, tried)) {
+    if (!this->CanAccept(now, state, shape, tried)) {
       continue;
     }
     weighed.push_back(shape.engine
                           ? this->ScoreEngine(now, state, shape, source)
                           : this->ScorePlainEndpoint(state, shape));
-    any_answers = any_answers || !weighed.back().reader;
+    any_answers = any_answers || !weighed.back().is_prefill;
   }
   if (weighed.empty() || !any_answers) {
-    return Refused{.reason = "no endpoint",
-                   .retry_after = this->options.min_ejection};
+    return PlacementRefusal{.reason = "no endpoint",
+                            .retry_after = this->options.min_ejection};
   }
   if (shape.engine) {
     this->AddRendezvousPenalty(shape, weighed);
@@ -454,7 +462,7 @@
   }
   const auto copy_from =
       best.copied_tokens > 0 ? std::optional(source.endpoint) : std::nullopt;
-  if (!best.reader) {
+  if (!best.is_prefill) {
     return PlacementTarget{.endpoint = best.endpoint,
                            .copy_from = copy_from,
                            .new_tokens = best.new_tokens,
@@ -464,7 +472,7 @@
   const auto answers = this->PlaceAnswer(now, shape, best.endpoint, tried);
   assert(answers && "an endpoint that generates was found above");
   return PlacementTarget{.endpoint = *answers,
-                         .reader = best.endpoint,
+                         .prefill_endpoint = best.endpoint,
                          .copy_from = copy_from,
                          .new_tokens = best.new_tokens,
                          .copied_tokens = best.copied_tokens,
@@ -497,7 +505,7 @@
   std::optional<EndpointId> best;
   double least = 0;
   for (const auto& [id, state] : this->states) {
-    if (!this->Takes(now, state, shape, tried) ||
+    if (!this->CanAccept(now, state, shape, tried) ||
         state.endpoint.role == EndpointRole::kPrefill) {
       continue;
     }
@@ -508,7 +516,7 @@
         prefill_state != this->states.end() &&
         prefill_state->second.endpoint.zone != state.endpoint.zone;
     const double score =
-        static_cast<double>(state.waiting_tokens + others.prompt_tokens) /
+        static_cast<double>(state.queued_tokens + others.prompt_tokens) /
             this->Rate(state) +
         (is_other_zone ? other_zone_cost : 0) +
         this->StreamPenalty(state, shape) + this->Penalty(state, shape);
@@ -532,17 +540,17 @@
   this->works[++this->last_work] = {
       .endpoint = endpoint,
       .started = state.endpoint.run.started,
-      .what = sent,
+      .sent_work = sent,
       .queued_tokens_before =
-          state.waiting_tokens + this->PeerWork(endpoint).prompt_tokens,
+          state.queued_tokens + this->PeerWork(endpoint).prompt_tokens,
       .parts = shape.parts,
-      .sent = now};
-  state.waiting_tokens += sent.new_tokens;
+      .sent_at = now};
+  state.queued_tokens += sent.new_tokens;
   ++state.running;
   // Inserted before the prefill is done: the next request with the same parts
   // at this engine waits for the prefill and finds them cached.
   for (const PartTokens& part : shape.parts) {
-    state.cache.Keep(part, this->CacheCapacity(shape.service), false);
+    state.cache.Add(part, this->CacheCapacity(shape.service), false);
   }
   return this->last_work;
 }
@@ -560,16 +568,16 @@
 void FleetPlacement::UpdateSlowness(Duration took,
                                     const Work& work,
                                     State& state) {
-  const int64_t tokens = work.what.new_tokens + work.queued_tokens_before;
-  if (tokens < kMinSlownessTokens || work.what.new_tokens == 0) {
+  const int64_t tokens = work.sent_work.new_tokens + work.queued_tokens_before;
+  if (tokens < kMinSlownessTokens || work.sent_work.new_tokens == 0) {
     return;
   }
   const EnginePace& pace = this->Pace(state.endpoint.service);
   const bool is_prefill = state.endpoint.role == EndpointRole::kPrefill;
   const double other_delays =
       (is_prefill ? 0 : pace.FirstToken()) +
-      (work.what.copied_tokens > 0
-           ? pace.TransferSeconds(work.what.copied_tokens)
+      (work.sent_work.copied_tokens > 0
+           ? pace.TransferSeconds(work.sent_work.copied_tokens)
            : 0);
   const double measured = (ToSeconds(took) - other_delays) *
                           pace.PrefillTokensPerSecond(state.endpoint.role) /
@@ -581,35 +589,35 @@
 }
 
 void FleetPlacement::UpdatePace(Instant now, const Work& work, State& state) {
-  const Duration took = now - work.sent;
+  const Duration took = now - work.sent_at;
   if (state.endpoint.role == EndpointRole::kPlain) {
     return;
   }
   EnginePace& pace = this->MutablePace(state.endpoint.service);
-  if (work.what.prefilled_elsewhere) {
+  if (work.sent_work.prefilled_elsewhere) {
     pace.OnFirstTokenAfterHandover(took);
     return;
   }
   this->UpdateSlowness(took, work, state);
-  pace.OnRead({.role = state.endpoint.role,
-               .tokens = work.what.new_tokens,
-               .queued_tokens_before = work.queued_tokens_before,
-               .copied_tokens = work.what.copied_tokens,
-               .took = took});
+  pace.OnPrefill({.role = state.endpoint.role,
+                  .tokens = work.sent_work.new_tokens,
+                  .queued_tokens_before = work.queued_tokens_before,
+                  .copied_tokens = work.sent_work.copied_tokens,
+                  .took = took});
 }
 
 void FleetPlacement::OnPrefillDone(Instant now, WorkId work) {
   const auto found = this->works.find(work);
-  if (found == this->works.end() || found->second.read) {
+  if (found == this->works.end() || found->second.prefilled) {
     return;
   }
-  found->second.read = true;
+  found->second.prefilled = true;
   if (State* state = this->Find(found->second)) {
-    state->waiting_tokens -= found->second.what.new_tokens;
+    state->queued_tokens -= found->second.sent_work.new_tokens;
     this->UpdatePace(now, found->second, *state);
     for (const PartTokens& part : found->second.parts) {
-      state->cache.Keep(part, this->CacheCapacity(state->endpoint.service),
-                        true);
+      state->cache.Add(part, this->CacheCapacity(state->endpoint.service),
+                       true);
     }
   }
 }
@@ -621,10 +629,10 @@
   }
   if (State* state = this->Find(ended.mapped())) {
     --state->running;
-    if (ended.mapped().read) {
+    if (ended.mapped().prefilled) {
       return;
     }
-    state->waiting_tokens -= ended.mapped().what.new_tokens;
+    state->queued_tokens -= ended.mapped().sent_work.new_tokens;
     // It is not known how much was prefilled. An unconfirmed entry would
     // attract the same prompt to this engine again.
     for (const PartTokens& part : ended.mapped().parts) {
@@ -643,17 +651,17 @@
 
 void FleetPlacement::SetUnavailable(const HostId& host,
                                     std::set<EndpointId> endpoints) {
-  this->away[host] = std::move(endpoints);
+  this->unavailable[host] = std::move(endpoints);
 }
 
 void FleetPlacement::RemovePeer(const HostId& host) {
   this->OnPeerWork(host, {});
   this->peers.erase(host);
-  this->away.erase(host);
+  this->unavailable.erase(host);
 }
 
 bool FleetPlacement::IsUnavailable(const EndpointId& endpoint) const {
-  return std::ranges::any_of(this->away, [&endpoint](const auto& entry) {
+  return std::ranges::any_of(this->unavailable, [&endpoint](const auto& entry) {
     return entry.second.contains(endpoint);
   });
 }
@@ -718,7 +726,7 @@
   for (const auto& [id, state] : this->states) {
     if (state.running > 0) {
       own.push_back({.endpoint = id,
-                     .prompt_tokens = state.waiting_tokens,
+                     .prompt_tokens = state.queued_tokens,
                      .requests = state.running});
     }
   }
--- a/packages/decisions/fleet_placement.h
+++ b/packages/decisions/fleet_placement.h
@@ -123,7 +123,7 @@
   // Prompt tokens that an engine caches; 0: unknown.
   int64_t cache_tokens = 0;
   // Tokens per second that engines transfer from each other; 0: unknown.
-  double copied_tokens = 0;
+  double transfer_tokens_per_second = 0;
   // Longest pause in a stream that is still on time; 0: unknown.
   Duration pause_target{};
 
@@ -139,10 +139,10 @@
   Duration target{};  // to the first byte of an answer that is on time
   // Longest acceptable time to the first byte. If it can't be met, the caller
   // is better served by an immediate refusal.
-  Duration patience = std::chrono::seconds(2);
+  Duration max_first_byte_wait = std::chrono::seconds(2);
   // Part of the answer was sent to the caller, or the request may have run: it
   // is not refused because of a long queue.
-  bool begun = false;
+  bool in_progress = false;
 
   auto operator<=>(const RequestProfile&) const = default;
 };
@@ -151,24 +151,24 @@
 // prefills the prompt and hands it over to `endpoint`, which generates.
 struct PlacementTarget {
   EndpointId endpoint;
-  std::optional<EndpointId> reader;     // prefills the prompt
-  std::optional<EndpointId> copy_from;  // source of the cached prefix
-  int64_t new_tokens = 0;               // to prefill, at the first engine
-  int64_t copied_tokens = 0;            // transferred from `copy_from`
-  Duration expected{};                  // time to the first byte
+  std::optional<EndpointId> prefill_endpoint;  // prefills the prompt
+  std::optional<EndpointId> copy_from;         // source of the cached prefix
+  int64_t new_tokens = 0;     // to prefill, at the first engine
+  int64_t copied_tokens = 0;  // transferred from `copy_from`
+  Duration expected{};        // time to the first byte
 
   auto operator<=>(const PlacementTarget&) const = default;
 };
 
 // Why a request is refused, and after how long the caller may retry.
-struct Refused {
+struct PlacementRefusal {
   std::string reason;
   Duration retry_after{};
 
-  auto operator<=>(const Refused&) const = default;
+  auto operator<=>(const PlacementRefusal&) const = default;
 };
 
-using PlacementResult = std::variant<PlacementTarget, Refused>;
+using PlacementResult = std::variant<PlacementTarget, PlacementRefusal>;
 
 // Identifies a request at an endpoint; 0: none.
 using WorkId = uint64_t;
@@ -257,7 +257,7 @@
   void ClearCache(const EndpointId& endpoint);
 
   // Whether the run is the listed run of its endpoint.
-  bool Knows(const EndpointRun& run) const;
+  bool IsListed(const EndpointRun& run) const;
 
   // The parts that an engine has confirmed as cached, least recently used
   // first.
@@ -303,9 +303,9 @@
   struct State {
     FleetEndpoint endpoint;
     EngineCache cache;
-    int64_t waiting_tokens = 0;  // of this host, not yet prefilled
-    int64_t running = 0;         // requests of this host
-    double slowness = 1;         // measured prefill time / usual prefill time
+    int64_t queued_tokens = 0;  // of this host, not yet prefilled
+    int64_t running = 0;        // requests of this host
+    double slowness = 1;        // measured prefill time / usual prefill time
     double failure_share = 0;
     int64_t consecutive_failures = 0;
     Duration ejection{};
@@ -314,12 +314,12 @@
   struct Work {
     EndpointId endpoint;
     int64_t started = 0;  // the endpoint's start, from EndpointRun
-    SentWork what;
+    SentWork sent_work;
     int64_t queued_tokens_before =
         0;  // prefill tokens queued there when it was sent
     std::vector<PartTokens> parts;
-    Instant sent{};
-    bool read = false;
+    Instant sent_at{};
+    bool prefilled = false;
   };
   // A series of refusals of a service's requests, without a longer gap.
   struct Overload {
@@ -332,7 +332,7 @@
     Instant last{};
   };
   // The engine that has the most of a prompt's start cached.
-  struct Source {
+  struct PrefixSource {
     EndpointId endpoint;
     ZoneId zone;
     int64_t tokens = 0;
@@ -340,25 +340,25 @@
   struct ScoredEndpoint {
     EndpointId endpoint;
     double score = 0;
-    double seconds = 0;  // to the first byte
-    double waiting = 0;  // of these, in the prefill queue
+    double seconds = 0;        // to the first byte
+    double queue_seconds = 0;  // of these, in the prefill queue
     int64_t new_tokens = 0;
     int64_t copied_tokens = 0;
-    bool reader = false;
+    bool is_prefill = false;
   };
 
-  bool Takes(Instant now,
-             const State& state,
-             const RequestProfile& shape,
-             const std::set<EndpointId>& tried) const;
-  Source BestSource(const RequestProfile& shape) const;
+  bool CanAccept(Instant now,
+                 const State& state,
+                 const RequestProfile& shape,
+                 const std::set<EndpointId>& tried) const;
+  PrefixSource BestSource(const RequestProfile& shape) const;
   ScoredEndpoint ScoreEngine(Instant now,
                              const State& state,
                              const RequestProfile& shape,
-                             const Source& source) const;
+                             const PrefixSource& source) const;
   void AddRendezvousPenalty(const RequestProfile& shape,
                             std::vector<ScoredEndpoint>& weighed) const;
-  std::optional<Refused> RefuseIfTooLate(
+  std::optional<PlacementRefusal> RefuseIfTooLate(
       const RequestProfile& shape,
       const std::vector<ScoredEndpoint>& weighed,
       const ScoredEndpoint& best) const;
@@ -369,15 +369,15 @@
   double Penalty(const State& state, const RequestProfile& shape) const;
   double StreamPenalty(const State& state, const RequestProfile& shape) const;
   // Prefill of a prompt at an engine.
-  struct Reading {
-    int64_t tokens = 0;  // to prefill
-    double own = 0;      // seconds for these tokens
-    double all = 0;      // seconds including the prefill queue
+  struct PrefillEstimate {
+    int64_t tokens = 0;        // to prefill
+    double own_seconds = 0;    // seconds for these tokens
+    double total_seconds = 0;  // seconds including the prefill queue
   };
   double DecodeStall(Instant now,
                      const State& state,
                      const RequestProfile& shape,
-                     const Reading& reading) const;
+                     const PrefillEstimate& reading) const;
   double PauseShare(Instant now, const ServiceId& service, double target) const;
   EndpointOutstanding PeerWork(const EndpointId& endpoint) const;
   void AddPeerWork(const std::vector<EndpointOutstanding>& work, int64_t sign);
@@ -394,9 +394,9 @@
   std::map<WorkId, Work> works;
   std::map<HostId, std::vector<EndpointOutstanding>> peers;
   std::map<EndpointId, EndpointOutstanding> peer_totals;  // sums over `peers`
-  std::map<HostId, std::set<EndpointId>> away;
+  std::map<HostId, std::set<EndpointId>> unavailable;
   std::map<ServiceId, double> plain_seconds;
-  std::map<ServiceId, ServiceParameters> shares;
+  std::map<ServiceId, ServiceParameters> service_parameters;
   std::map<ServiceId, Overload> overloads;
   std::map<ServiceId, Pauses> pauses;
   std::map<ServiceId, EnginePace> paces;
--- a/packages/decisions/fleet_retry_budget.h
+++ b/packages/decisions/fleet_retry_budget.h
@@ -16,8 +16,8 @@
 
 struct FleetRetryBudgetOptions {
   Duration window = std::chrono::seconds(10);
-  double share = 0.2;  // retries per request
-  double slack = 0;    // additional retries of all hosts per window
+  double retry_ratio = 0.2;  // retries per request
+  double slack = 0;          // additional retries of all hosts per window
 
   auto operator<=>(const FleetRetryBudgetOptions&) const = default;
 };
@@ -50,10 +50,10 @@
  private:
   struct Count {
     std::deque<Instant> requests;
-    std::deque<Instant> repeats;
+    std::deque<Instant> retries;
   };
 
-  void Forget(Instant now, std::deque<Instant>& times) const;
+  void RemoveExpired(Instant now, std::deque<Instant>& times) const;
 
   FleetRetryBudgetOptions options;
   int64_t hosts = 0;
--- a/packages/decisions/hickorystand_dispatcher.cc
+++ b/packages/decisions/hickorystand_dispatcher.cc
@@ -34,8 +34,8 @@
 }
 
 ErrorKind KindOf(AttemptOutcome outcome) {
-  return outcome == AttemptOutcome::kSilent ? ErrorKind::kTimeout
-                                            : ErrorKind::kEndpointFailed;
+  return outcome == AttemptOutcome::kStalled ? ErrorKind::kTimeout
+                                             : ErrorKind::kEndpointFailed;
 }
 
 }  // namespace
@@ -75,7 +75,7 @@
   }
   // A repeated non-idempotent request is refused by its claim instead: this
   // error states that the request has not run, which would be wrong.
-  if (request.request_class != RequestClass::kOnce &&
+  if (request.request_class != RequestClass::kAtMostOnce &&
       this->suspects.IsBlocked(now, request.fingerprint)) {
     return Error{ErrorKind::kSuspectRequest,
                  "this request crashed the endpoints that ran it",
@@ -111,7 +111,7 @@
 
 DispatchList HickorystandDispatcher::OnArrival(Instant now,
                                                const Request& request) {
-  assert(!this->live.contains(request.id) &&
+  assert(!this->active_requests.contains(request.id) &&
          "request id is already in use on this host");
   if (std::optional<Error> error = this->CheckAdmission(now, request)) {
     return {Dispatch{.kind = DispatchKind::kRefuse,
@@ -119,7 +119,7 @@
                      .reason = "refused on arrival",
                      .error = std::move(error)}};
   }
-  Live& active = this->live[request.id];
+  ActiveRequest& active = this->active_requests[request.id];
   active.request = request;
   active.charged =
       static_cast<double>(request.prompt_tokens) +
@@ -129,13 +129,13 @@
   DispatchList out;
   // If others are queued before it, it waits for the next tick.
   if (this->admission.Size() == 1) {
-    this->Pump(now, request.service, out);
+    this->StartQueued(now, request.service, out);
   }
   return out;
 }
 
 void HickorystandDispatcher::Enqueue(Instant now,
-                                     Live& active,
+                                     ActiveRequest& active,
                                      double cost,
                                      bool requeued) {
   active.state = State::kQueued;
@@ -146,31 +146,33 @@
 }
 
 // Batch requests have no time limit in the queue.
-bool HickorystandDispatcher::CanExpire(const Live& active) const {
+bool HickorystandDispatcher::CanExpire(const ActiveRequest& active) const {
   return active.request.request_class != RequestClass::kBatch;
 }
 
 // Whether the request must restart at once, even on a full endpoint: its claim
 // is already recorded, or its caller has received part of the answer.
-bool HickorystandDispatcher::MustStartNow(const Live& active) const {
+bool HickorystandDispatcher::MustStartNow(const ActiveRequest& active) const {
   return active.granted || active.delivered > 0;
 }
 
 // --- Starting queued requests -----------------------------------------------
 
-void HickorystandDispatcher::Pump(Instant now,
-                                  const ServiceId& service,
-                                  DispatchList& out) {
+void HickorystandDispatcher::StartQueued(Instant now,
+                                         const ServiceId& service,
+                                         DispatchList& out) {
   for (bool started = true; started;) {
-    const std::vector<Waiting> heads =
+    const std::vector<QueuedRequest> heads =
         this->admission.Heads(now, service, kHeadsPerAccount);
-    started = std::ranges::any_of(
-        heads | std::views::take(kHeadsTried),
-        [&](const Waiting& head) { return this->TryStart(now, head, out); });
+    started = std::ranges::any_of(heads | std::views::take(kHeadsTried),
+                                  [&](const QueuedRequest& head) {
+                                    return this->TryStart(now, head, out);
+                                  });
   }
 }
 
-RouteQuery HickorystandDispatcher::QueryFor(Instant now, Live& active) {
+RouteQuery HickorystandDispatcher::QueryFor(Instant now,
+                                            ActiveRequest& active) {
   if (active.least_work == 0 || now - active.least_work_at > kLeastWorkMaxAge) {
     active.least_work = this->router.LeastWork(now, active.request);
     active.least_work_at = now;
@@ -187,9 +189,9 @@
 }
 
 bool HickorystandDispatcher::TryStart(Instant now,
-                                      const Waiting& head,
+                                      const QueuedRequest& head,
                                       DispatchList& out) {
-  Live& active = this->live.at(head.request);
+  ActiveRequest& active = this->active_requests.at(head.request);
   if (!this->MustStartNow(active) &&
       !this->router.HasRoomFor(now, head.service)) {
     return false;
@@ -202,7 +204,7 @@
   this->expiries.erase({active.expires, head.request});
   this->admission.Start(now, head.request);
   active.started = true;
-  const bool once = active.request.request_class == RequestClass::kOnce;
+  const bool once = active.request.request_class == RequestClass::kAtMostOnce;
   if (once && !active.granted) {
     active.state = State::kClaiming;
     out.push_back({.kind = DispatchKind::kClaim,
@@ -215,11 +217,11 @@
 }
 
 void HickorystandDispatcher::Send(Instant now,
-                                  Live& active,
+                                  ActiveRequest& active,
                                   const Route& route,
                                   bool hedge,
                                   DispatchList& out) {
-  if (active.request.request_class == RequestClass::kOnce) {
+  if (active.request.request_class == RequestClass::kAtMostOnce) {
     // Sending it again after any byte may have been sent could run it twice.
     assert(active.granted && "non-idempotent request sent without a claim");
     assert(!active.may_have_run && active.attempts.empty() &&
@@ -255,12 +257,13 @@
 DispatchList HickorystandDispatcher::OnClaim(Instant now,
                                              const RequestId& request,
                                              ClaimResult result) {
-  const auto found = this->live.find(request);
-  if (found == this->live.end() || found->second.state != State::kClaiming) {
+  const auto found = this->active_requests.find(request);
+  if (found == this->active_requests.end() ||
+      found->second.state != State::kClaiming) {
     return {};
   }
   DispatchList out;
-  Live& active = found->second;
+  ActiveRequest& active = found->second;
   if (result == ClaimResult::kTaken) {
     active.may_have_run = true;  // another copy of it
     this->Refuse(active, ErrorKind::kDuplicate, "this request was sent before",
@@ -278,7 +281,7 @@
     this->Send(now, active, *route, false, out);
     return out;
   }
-  this->admission.Ended(active.request.account);
+  this->admission.OnEnded(active.request.account);
   this->Enqueue(now, active, 0, true);
   return out;
 }
@@ -293,7 +296,7 @@
     return {};
   }
   Attempt& running = found->second;
-  Live& active = this->live.at(running.request);
+  ActiveRequest& active = this->active_requests.at(running.request);
   active.may_have_run = true;
   running.generated += generated_tokens;
   active.delivered =
@@ -319,13 +322,13 @@
   this->router.OnEnded(now, ended.endpoint, outcome,
                        ended.first_token ? 0 : ended.route.missed_tokens,
                        ended.suspect, ended.route.probe);
-  Live& active = this->live.at(ended.request);
+  ActiveRequest& active = this->active_requests.at(ended.request);
   std::erase(active.attempts, attempt);
   this->attempts.erase(found);
 }
 
 void HickorystandDispatcher::CancelOthers(Instant now,
-                                          Live& active,
+                                          ActiveRequest& active,
                                           AttemptId keep,
                                           DispatchList& out) {
   const std::vector<AttemptId> all = active.attempts;
@@ -350,14 +353,15 @@
   for (auto& [id, other] : this->attempts) {
     if (other.endpoint == attempt.endpoint && !other.crash_counted) {
       other.crash_counted = true;
-      fingerprints.push_back(this->live.at(other.request).request.fingerprint);
+      fingerprints.push_back(
+          this->active_requests.at(other.request).request.fingerprint);
     }
   }
   const EndpointView* view = this->router.Find(attempt.endpoint);
   this->suspects.OnCrash(now, view->endpoint.zone, fingerprints);
 }
 
-double HickorystandDispatcher::UsedCost(const Live& active) const {
+double HickorystandDispatcher::UsedCost(const ActiveRequest& active) const {
   return active.may_have_run
              ? static_cast<double>(active.request.prompt_tokens) +
                    this->router.DecodeWeight() *
@@ -366,7 +370,7 @@
 }
 
 // Replaces the cost estimated on arrival by the cost actually used.
-void HickorystandDispatcher::ReconcileCost(Live& active, double used) {
+void HickorystandDispatcher::ReconcileCost(ActiveRequest& active, double used) {
   if (active.started) {
     this->admission.AdjustCost(active.request.account, used - active.charged);
     active.charged = used;
@@ -383,7 +387,7 @@
     this->RecordCrash(now, found->second);
   }
   const Attempt attempt = found->second;
-  Live& active = this->live.at(attempt.request);
+  ActiveRequest& active = this->active_requests.at(attempt.request);
   const ServiceId service = active.request.service;
   active.delivered =
       std::max(active.delivered, attempt.resume_from + result.generated_tokens);
@@ -412,22 +416,22 @@
       break;
     default:
       if (active.attempts.empty()) {
-        this->Failed(now, active, attempt, result.outcome, out);
-        this->Pump(now, service, out);
+        this->HandleFailure(now, active, attempt, result.outcome, out);
+        this->StartQueued(now, service, out);
       }
   }
   return out;
 }
 
-void HickorystandDispatcher::Failed(Instant now,
-                                    Live& active,
-                                    const Attempt& attempt,
-                                    AttemptOutcome outcome,
-                                    DispatchList& out) {
+void HickorystandDispatcher::HandleFailure(Instant now,
+                                           ActiveRequest& active,
+                                           const Attempt& attempt,
+                                           AttemptOutcome outcome,
+                                           DispatchList& out) {
   active.last = outcome;
   this->lookups.erase(active.request.id);
   const RequestClass request_class = active.request.request_class;
-  if (request_class == RequestClass::kOnce && active.may_have_run) {
+  if (request_class == RequestClass::kAtMostOnce && active.may_have_run) {
     this->Refuse(active, ErrorKind::kOutcomeUnknown,
                  "the request may have run; look up its status", out);
     return;
@@ -443,7 +447,7 @@
   if (active.tries >= (batch ? kMaxBatchTries : kMaxTries) || too_late ||
       (active.delivered > 0 && !resumable) ||
       this->suspects.IsBlocked(now, active.request.fingerprint)) {
-    this->GiveUp(active, out);
+    this->RefuseAfterFailure(active, out);
     return;
   }
   // If every endpoint is ejected, the request is refused at once with a
@@ -455,7 +459,7 @@
       !this->router.HasAlternative(now, active.request, {});
   const bool has_budget = !no_alternative && this->retries.Take(now);
   if (!has_budget && !batch) {
-    this->GiveUp(active, out);
+    this->RefuseAfterFailure(active, out);
     return;
   }
   active.avoid.insert(attempt.endpoint);
@@ -466,7 +470,7 @@
   if (active.delivered > 0) {
     active.expires = now + kResumeTimeout;
   }
-  this->admission.Ended(active.request.account);
+  this->admission.OnEnded(active.request.account);
   if (has_budget) {
     this->Enqueue(now, active, 0, true);
     return;
@@ -481,38 +485,38 @@
   while (!this->parked.empty() && this->retries.Take(now)) {
     const RequestId request = *this->parked.begin();
     this->parked.erase(this->parked.begin());
-    this->Enqueue(now, this->live.at(request), 0, true);
+    this->Enqueue(now, this->active_requests.at(request), 0, true);
   }
 }
 
 // --- Completion -------------------------------------------------------------
 
-void HickorystandDispatcher::Forget(const RequestId& request) {
-  Live& active = this->live.at(request);
+void HickorystandDispatcher::RemoveRequest(const RequestId& request) {
+  ActiveRequest& active = this->active_requests.at(request);
   assert(active.attempts.empty() &&
          "request removed while it has attempts in flight");
   if (active.state == State::kQueued) {
     this->expiries.erase({active.expires, request});
     this->admission.Remove(request);
   } else if (active.state != State::kParked) {
-    this->admission.Ended(active.request.account);
+    this->admission.OnEnded(active.request.account);
   }
   this->parked.erase(request);
   this->lookups.erase(request);
-  this->live.erase(request);
+  this->active_requests.erase(request);
 }
 
-void HickorystandDispatcher::Finish(Live& active,
+void HickorystandDispatcher::Finish(ActiveRequest& active,
                                     std::string reason,
                                     DispatchList& out) {
   const RequestId request = active.request.id;
-  this->Forget(request);
+  this->RemoveRequest(request);
   out.push_back({.kind = DispatchKind::kFinish,
                  .request = request,
                  .reason = std::move(reason)});
 }
 
-void HickorystandDispatcher::Refuse(Live& active,
+void HickorystandDispatcher::Refuse(ActiveRequest& active,
                                     ErrorKind kind,
                                     std::string message,
                                     DispatchList& out) {
@@ -525,14 +529,15 @@
   }
   this->ReconcileCost(active, this->UsedCost(active));
   const RequestId request = active.request.id;
-  this->Forget(request);
+  this->RemoveRequest(request);
   out.push_back({.kind = DispatchKind::kRefuse,
                  .request = request,
                  .reason = "refused after admission",
                  .error = Error{kind, std::move(message), retry_after}});
 }
 
-void HickorystandDispatcher::GiveUp(Live& active, DispatchList& out) {
+void HickorystandDispatcher::RefuseAfterFailure(ActiveRequest& active,
+                                                DispatchList& out) {
   if (!active.may_have_run) {
     this->Refuse(active, ErrorKind::kNoEndpoint, "no endpoint took the request",
                  out);
@@ -548,21 +553,21 @@
 DispatchList HickorystandDispatcher::OnCallerDisconnected(
     Instant now,
     const RequestId& request) {
-  const auto found = this->live.find(request);
-  if (found == this->live.end()) {
+  const auto found = this->active_requests.find(request);
+  if (found == this->active_requests.end()) {
     return {};
   }
-  Live& active = found->second;
+  ActiveRequest& active = found->second;
   // A non-idempotent request in flight is not cancelled: that would leave its
   // outcome unknown, and the caller may look up its status later.
-  const bool once = active.request.request_class == RequestClass::kOnce;
+  const bool once = active.request.request_class == RequestClass::kAtMostOnce;
   if (once && !active.attempts.empty()) {
     return {};
   }
   DispatchList out;
   this->CancelOthers(now, active, 0, out);
   this->ReconcileCost(active, this->UsedCost(active));
-  this->Forget(request);
+  this->RemoveRequest(request);
   return out;
 }
 
@@ -600,7 +605,7 @@
 void HickorystandDispatcher::RefuseExpired(Instant now, DispatchList& out) {
   for (auto next = this->expiries.begin();
        next != this->expiries.end() && next->first <= now + kExpiryHorizon;) {
-    Live& active = this->live.at(next->second);
+    ActiveRequest& active = this->active_requests.at(next->second);
     ++next;  // before Refuse() erases the entry
     const bool fresh = active.delivered == 0;
     const double first_token_seconds =
@@ -612,7 +617,7 @@
       continue;
     }
     if (active.may_have_run) {
-      this->GiveUp(active, out);
+      this->RefuseAfterFailure(active, out);
     } else {
       this->Refuse(active, ErrorKind::kDeadlineUnmeetable,
                    "no endpoint had room in time", out);
@@ -629,7 +634,7 @@
   const std::vector<RequestId> running(this->lookups.begin(),
                                        this->lookups.end());
   for (const RequestId& request : running) {
-    Live& active = this->live.at(request);
+    ActiveRequest& active = this->active_requests.at(request);
     const Attempt& first = this->attempts.at(active.attempts.front());
     if (active.hedged || now - first.sent < hedge_delay) {
       continue;
@@ -651,7 +656,7 @@
   this->HedgeLookups(now, out);
   this->RetryParked(now);
   for (const ServiceId& service : this->admission.Services()) {
-    this->Pump(now, service, out);
+    this->StartQueued(now, service, out);
   }
   return out;
 }
@@ -670,7 +675,7 @@
 }
 
 int64_t HickorystandDispatcher::Running() const {
-  return static_cast<int64_t>(this->live.size()) - this->Queued();
+  return static_cast<int64_t>(this->active_requests.size()) - this->Queued();
 }
 
 // --- Registration -----------------------------------------------------------
--- a/packages/decisions/hickorystand_dispatcher.h
+++ b/packages/decisions/hickorystand_dispatcher.h
@@ -81,7 +81,7 @@
  private:
   enum class State { kQueued, kClaiming, kRunning, kParked };
 
-  struct Live {
+  struct ActiveRequest {
     Request request;
     State state = State::kQueued;
     std::vector<AttemptId> attempts;
@@ -115,43 +115,43 @@
   // The error to refuse a new request with, or none if it is admitted.
   std::optional<Error> CheckAdmission(Instant now, const Request& request);
 
-  void Enqueue(Instant now, Live& active, double cost, bool requeued);
+  void Enqueue(Instant now, ActiveRequest& active, double cost, bool requeued);
   // Starts queued requests as long as there is room.
-  void Pump(Instant now, const ServiceId& service, DispatchList& out);
-  bool TryStart(Instant now, const Waiting& head, DispatchList& out);
+  void StartQueued(Instant now, const ServiceId& service, DispatchList& out);
+  bool TryStart(Instant now, const QueuedRequest& head, DispatchList& out);
   void Send(Instant now,
-            Live& active,
+            ActiveRequest& active,
             const Route& route,
             bool hedge,
             DispatchList& out);
-  RouteQuery QueryFor(Instant now, Live& active);
+  RouteQuery QueryFor(Instant now, ActiveRequest& active);
 
-  void Finish(Live& active, std::string reason, DispatchList& out);
-  void Refuse(Live& active,
+  void Finish(ActiveRequest& active, std::string reason, DispatchList& out);
+  void Refuse(ActiveRequest& active,
               ErrorKind kind,
               std::string message,
               DispatchList& out);
   // Refuses a request after its last attempt failed.
-  void GiveUp(Live& active, DispatchList& out);
-  void Forget(const RequestId& request);
-  void Failed(Instant now,
-              Live& active,
-              const Attempt& attempt,
-              AttemptOutcome outcome,
-              DispatchList& out);
+  void RefuseAfterFailure(ActiveRequest& active, DispatchList& out);
+  void RemoveRequest(const RequestId& request);
+  void HandleFailure(Instant now,
+                     ActiveRequest& active,
+                     const Attempt& attempt,
+                     AttemptOutcome outcome,
+                     DispatchList& out);
   void CancelOthers(Instant now,
-                    Live& active,
+                    ActiveRequest& active,
                     AttemptId keep,
                     DispatchList& out);
   void EndAttempt(Instant now, AttemptId attempt, AttemptOutcome outcome);
   void RecordCrash(Instant now, Attempt& attempt);
-  double UsedCost(const Live& active) const;
-  void ReconcileCost(Live& active, double used);
+  double UsedCost(const ActiveRequest& active) const;
+  void ReconcileCost(ActiveRequest& active, double used);
 
   void RefuseExpired(Instant now, DispatchList& out);
   void HedgeLookups(Instant now, DispatchList& out);
-  bool CanExpire(const Live& active) const;
-  bool MustStartNow(const Live& active) const;
+  bool CanExpire(const ActiveRequest& active) const;
+  bool MustStartNow(const ActiveRequest& active) const;
   void RetryParked(Instant now);
 
   DispatcherOptions options;
@@ -161,7 +161,7 @@
   RetryBudget retries;
   Suspects suspects;
   ConfigurationPtr configuration;
-  std::map<RequestId, Live> live;
+  std::map<RequestId, ActiveRequest> active_requests;
   std::map<AttemptId, Attempt> attempts;
   std::set<std::pair<Instant, RequestId>> expiries;  // of queued requests
   std::set<RequestId> parked;
--- a/packages/decisions/lease.cc
+++ b/packages/decisions/lease.cc
@@ -69,17 +69,17 @@
 
 void Lease::OnTick(Instant now, std::vector<LeaseAction>& out) {
   if (this->Held() && !this->MayAct(now)) {
-    this->Lose(now, out);
+    this->EndTenure(now, out);
     return;
   }
   // A lost reply must not stop this host from acquiring the lease later.
-  if (this->call && now - this->call->asked >= this->options.call_timeout) {
+  if (this->call && now - this->call->sent_at >= this->options.call_timeout) {
     this->call.reset();
     if (this->state == State::kCreating || this->state == State::kReadingBack) {
       this->ReadBack(now, out);
     } else if (this->state == State::kGranting ||
                this->state == State::kReleasing) {
-      this->Follow(now, out);
+      this->BecomeFollower(now, out);
     }
   }
   if (this->call || this->retired || now < this->next_call) {
@@ -87,7 +87,7 @@
   }
   if (this->state == State::kHeld) {
     out.emplace_back(
-        RenewLease{.tag = this->Ask(now), .lease = this->store_lease});
+        RenewLease{.tag = this->StartCall(now), .lease = this->store_lease});
   } else if (this->state == State::kFollowing) {
     this->Poll(now, out);
   }
@@ -132,7 +132,7 @@
     return false;
   }
   if (!lease) {
-    this->Follow(now, out);
+    this->BecomeFollower(now, out);
     return true;
   }
   this->store_lease = *lease;
@@ -147,14 +147,14 @@
   if (!this->call || this->call->tag != tag) {
     return false;
   }
-  const Instant sent_at = this->call->asked;
+  const Instant sent_at = this->call->sent_at;
   this->call.reset();
   if (!this->Held()) {
     return true;
   }
   if (!remaining) {
     if (remaining.error().kind == ErrorKind::kNotFound) {
-      this->Lose(now, out);
+      this->EndTenure(now, out);
     }
     return true;  // any other failure: retried at the next tick
   }
@@ -194,7 +194,7 @@
   // Bound to the lease, so that the release record expires with it unless a
   // host takes over before.
   out.emplace_back(RunTransaction{
-      .tag = this->Ask(now),
+      .tag = this->StartCall(now),
       .transaction = {
           .conditions = {{.key = key,
                           .revision = std::exchange(this->fencing, 0)}},
@@ -211,13 +211,13 @@
   if (reply.outcome == StoreOutcome::kThen) {
     this->store_lease = 0;
   }
-  this->Follow(now, out);
+  this->BecomeFollower(now, out);
 }
 
-void Lease::Lose(Instant now, std::vector<LeaseAction>& out) {
+void Lease::EndTenure(Instant now, std::vector<LeaseAction>& out) {
   this->call.reset();
   this->fencing = 0;
-  this->Follow(now, out);
+  this->BecomeFollower(now, out);
 }
 
 bool Lease::AcceptReply(CallTag tag) {
@@ -228,9 +228,9 @@
   return true;
 }
 
-CallTag Lease::Ask(Instant now) {
+CallTag Lease::StartCall(Instant now) {
   assert(!this->call && "a lease has one call in flight at a time");
-  this->call = Call{.tag = this->NextTag(), .asked = now};
+  this->call = Call{.tag = this->NextTag(), .sent_at = now};
   return this->call->tag;
 }
 
@@ -241,7 +241,7 @@
 
 void Lease::ReadRecord(Instant now, std::vector<LeaseAction>& out) {
   out.emplace_back(RunTransaction{
-      .tag = this->Ask(now),
+      .tag = this->StartCall(now),
       .transaction = {
           .then = {StoreGet(LeaseKey(this->options.data_centre))}}});
 }
@@ -263,7 +263,7 @@
   this->state = State::kGranting;
   this->term_start = now;
   out.emplace_back(
-      GrantLease{.tag = this->Ask(now), .length = this->options.length});
+      GrantLease{.tag = this->StartCall(now), .length = this->options.length});
 }
 
 // Creates the lease record on condition that the release record is `release`,
@@ -291,7 +291,7 @@
     transaction.conditions.back().revision = release->mod_revision;
     transaction.then.push_back(StoreDelete(release_key));
   }
-  out.emplace_back(RunTransaction{.tag = this->Ask(now),
+  out.emplace_back(RunTransaction{.tag = this->StartCall(now),
                                   .transaction = std::move(transaction)});
 }
 
@@ -300,13 +300,13 @@
                       std::vector<LeaseAction>& out) {
   switch (reply.outcome) {
     case StoreOutcome::kThen:
-      this->Take(now, reply.revision, out);
+      this->BeginTenure(now, reply.revision, out);
       break;
     case StoreOutcome::kOtherwise:
       this->OnNotCreated(now, reply, out);
       break;
     case StoreOutcome::kNotApplied:
-      this->Follow(now, out);
+      this->BecomeFollower(now, out);
       break;
     case StoreOutcome::kUnknown:
       // The record may have been created although the reply was lost. Assuming
@@ -346,18 +346,20 @@
   if (!answered || record == nullptr) {
     // The record is absent or its state unknown. Revokes the store's lease, so
     // that a write that is still in flight can't take effect.
-    this->Follow(now, out);
+    this->BecomeFollower(now, out);
     return;
   }
   this->last_holder = HolderOf(record->value);
   if (record->value == this->token) {
-    this->Take(now, record->create_revision, out);
+    this->BeginTenure(now, record->create_revision, out);
   } else {
-    this->Follow(now, out);
+    this->BecomeFollower(now, out);
   }
 }
 
-void Lease::Take(Instant now, int64_t fencing, std::vector<LeaseAction>& out) {
+void Lease::BeginTenure(Instant now,
+                        int64_t fencing,
+                        std::vector<LeaseAction>& out) {
   assert(fencing > 0 && "the store's revisions start at 1");
   this->state = State::kHeld;
   this->fencing = fencing;
@@ -366,11 +368,11 @@
       this->term_start + this->options.length - this->options.margin;
   this->next_call = this->term_start + this->options.renew_every;
   if (!this->MayAct(now)) {
-    this->Lose(now, out);  // the replies took longer than the lease
+    this->EndTenure(now, out);  // the replies took longer than the lease
   }
 }
 
-void Lease::Follow(Instant now, std::vector<LeaseAction>& out) {
+void Lease::BecomeFollower(Instant now, std::vector<LeaseAction>& out) {
   this->state = State::kFollowing;
   this->next_call = now + this->options.poll_every;
   if (this->store_lease != 0) {
--- a/packages/decisions/lease.h
+++ b/packages/decisions/lease.h
@@ -182,7 +182,7 @@
 
   // Ends the tenure and polls for the lease again. Call it when a newer holder
   // is proven to exist.
-  void Lose(Instant now, std::vector<LeaseAction>& out);
+  void EndTenure(Instant now, std::vector<LeaseAction>& out);
 
   // A tag for another call of the same host, unique among its calls.
   CallTag NextTag() { return ++this->last_tag; }
@@ -200,11 +200,11 @@
   // The call in flight.
   struct Call {
     CallTag tag = 0;
-    Instant asked{};
+    Instant sent_at{};
   };
 
   bool AcceptReply(CallTag tag);
-  CallTag Ask(Instant now);
+  CallTag StartCall(Instant now);
   void Poll(Instant now, std::vector<LeaseAction>& out);
   void ReadRecord(Instant now, std::vector<LeaseAction>& out);
   void OnPolled(Instant now,
@@ -226,8 +226,8 @@
   void DecideByRecord(Instant now,
                       const StoreReply& reply,
                       std::vector<LeaseAction>& out);
-  void Take(Instant now, int64_t fencing, std::vector<LeaseAction>& out);
-  void Follow(Instant now, std::vector<LeaseAction>& out);
+  void BeginTenure(Instant now, int64_t fencing, std::vector<LeaseAction>& out);
+  void BecomeFollower(Instant now, std::vector<LeaseAction>& out);
 
   LeaseOptions options;
   State state = State::kFollowing;
--- a/packages/decisions/limit_shares.cc
+++ b/packages/decisions/limit_shares.cc
@@ -57,8 +57,8 @@
 
 void LimitShares::Start() {
   this->started = true;
-  this->known = false;
-  this->written = false;
+  this->record_known = false;
+  this->written_since_start = false;
   this->active = false;
   this->confirmed.reset();
   this->join_revision = 0;
@@ -93,7 +93,7 @@
   if (this->pending || (!this->started && !this->listed)) {
     return {};
   }
-  if (this->known) {
+  if (this->record_known) {
     if (!this->started) {
       std::vector<LimitHolder> others = this->holders;
       std::erase_if(others, [this](const LimitHolder& holder) {
@@ -142,7 +142,7 @@
     entry->state = this->active ? HolderState::kActive : HolderState::kJoining;
     return this->Write(std::move(changed));
   }
-  if (!this->written) {
+  if (!this->written_since_start) {
     return this->Write(std::move(changed));
   }
   if (own->state == HolderState::kJoining && this->MayActivate(now)) {
@@ -153,8 +153,9 @@
 }
 
 bool LimitShares::MayActivate(Instant now) const {
-  const bool others_ended = now - this->joined_at >=
-                            this->options.validity + this->options.clock_margin;
+  const bool others_ended =
+      now - this->joined_at >=
+      this->options.share_validity + this->options.clock_margin;
   return others_ended ||
          std::ranges::all_of(this->holders, [this](const LimitHolder& holder) {
            const auto found = this->acknowledged.find(holder.host);
@@ -172,7 +173,7 @@
     const auto since = this->leaving_since.find(holder.host);
     return since != this->leaving_since.end() &&
            now - since->second >=
-               this->options.validity + this->options.clock_margin;
+               this->options.share_validity + this->options.clock_margin;
   };
   std::erase_if(changed, ended);
   for (LimitHolder& holder : changed) {
@@ -182,7 +183,7 @@
     }
     const Instant since =
         this->absent_since.try_emplace(holder.host, now).first->second;
-    if (now - since >= this->options.absence) {
+    if (now - since >= this->options.absence_timeout) {
       holder.state = HolderState::kLeaving;
     }
   }
@@ -200,9 +201,9 @@
   }
   if (reply.outcome == StoreOutcome::kUnknown ||
       reply.outcome == StoreOutcome::kNotApplied) {
-    this->next_call = now + this->options.retry;
+    this->next_call = now + this->options.retry_interval;
     if (call == Call::kWrite) {
-      this->known = false;  // the write may have taken effect
+      this->record_known = false;  // the write may have taken effect
       this->listed = true;
     }
     return;
@@ -214,12 +215,12 @@
   this->revision = reply.revision;
   this->holders = this->proposed;
   this->listed = this->Find(this->self) != nullptr;
-  this->next_call = requested_at + this->options.poll;
+  this->next_call = requested_at + this->options.poll_interval;
   if (!this->started) {
-    this->known = this->listed;
+    this->record_known = this->listed;
     return;
   }
-  this->written = true;
+  this->written_since_start = true;
   this->ApplyHolders(now, requested_at);
 }
 
@@ -237,15 +238,15 @@
                     {.host = HostId("?"), .state = HolderState::kLeaving}});
   this->revision = record == nullptr ? 0 : record->mod_revision;
   this->holders = stored;
-  this->known = true;
+  this->record_known = true;
   this->listed = this->Find(this->self) != nullptr;
   this->next_call =
-      this->started ? requested_at + this->options.poll : Instant{};
+      this->started ? requested_at + this->options.poll_interval : Instant{};
   this->ApplyHolders(now, requested_at);
 }
 
 void LimitShares::ApplyHolders(Instant now, Instant requested_at) {
-  this->known = true;
+  this->record_known = true;
   const LimitHolder* own = this->Find(this->self);
   if (own == nullptr) {
     this->join_revision = 0;
@@ -255,7 +256,7 @@
     this->join_revision = this->revision;
     this->joined_at = now;
   }
-  if (this->started && this->written && own != nullptr &&
+  if (this->started && this->written_since_start && own != nullptr &&
       own->state == HolderState::kActive) {
     this->active = true;
     this->confirmed =
@@ -280,13 +281,13 @@
   }
 }
 
-double LimitShares::Own(Instant now) const {
+double LimitShares::OwnShare(Instant now) const {
   const bool holds = this->active && this->confirmed &&
-                     now - *this->confirmed < this->options.validity;
-  return holds ? this->Each() : 0;
+                     now - *this->confirmed < this->options.share_validity;
+  return holds ? this->HolderShare() : 0;
 }
 
-double LimitShares::Each() const {
+double LimitShares::HolderShare() const {
   return this->holders.empty() ? 0
                                : 1 / static_cast<double>(this->holders.size());
 }
--- a/packages/decisions/limit_shares.h
+++ b/packages/decisions/limit_shares.h
@@ -61,15 +61,15 @@
   std::string key = "hickorystand/limits";
   // A share expires this long after the request time of the last read or write
   // that confirmed it.
-  Duration validity = std::chrono::seconds(30);
+  Duration share_validity = std::chrono::seconds(30);
   // Added when a host waits for another host's share to expire, as the clocks
   // of two hosts run at different speeds.
   Duration clock_margin = std::chrono::seconds(1);
-  Duration poll = std::chrono::seconds(3);
-  Duration retry = std::chrono::milliseconds(200);
+  Duration poll_interval = std::chrono::seconds(3);
+  Duration retry_interval = std::chrono::milliseconds(200);
   // A holder that is neither listed nor linked for this long is marked as
   // leaving.
-  Duration absence = std::chrono::seconds(10);
+  Duration absence_timeout = std::chrono::seconds(10);
   // Every listed host holds a share. The first record then lists all of them
   // as active, so that they don't wait for acknowledgements of hosts that they
   // aren't linked with.
@@ -103,10 +103,10 @@
   void OnPeerRevision(const HostId& host, int64_t revision);
 
   // The fraction of each limit that this host may admit; 0 without a share.
-  double Own(Instant now) const;
+  double OwnShare(Instant now) const;
 
   // The fraction of each holder; 0 while the record hasn't been read.
-  double Each() const;
+  double HolderShare() const;
 
   // The revision of the newest record read; 0 before the first read.
   int64_t Revision() const { return this->revision; }
@@ -137,9 +137,10 @@
   bool listed = false;  // the record may list this host
   // A write of this host has taken effect since Start(). Its earlier writes
   // that are still in flight can't take effect after that.
-  bool written = false;
+  bool written_since_start = false;
   bool active = false;  // the record has listed this host as active since then
-  bool known = false;   // `holders` and `revision` are as last stored or read
+  bool record_known =
+      false;  // `holders` and `revision` are as last stored or read
   int64_t revision = 0;
   std::vector<LimitHolder> holders;
   int64_t join_revision = 0;  // the first record that counts this host
--- a/packages/decisions/membership.cc
+++ b/packages/decisions/membership.cc
@@ -34,7 +34,7 @@
     const auto [position, inserted] = this->records.try_emplace(line.peer.host);
     Record& record = position->second;
     if (inserted || !record.listed) {
-      record.heard = std::max(record.heard, now);
+      record.last_message = std::max(record.last_message, now);
     }
     record.peer = line.peer;
     record.listed = true;
@@ -51,22 +51,22 @@
     const Record& record = entry.second;
     // Its address belongs to another host now, so it can't return there.
     return !record.listed && listed_addresses.contains(record.peer.address) &&
-           now - record.heard > this->options.suspect_after;
+           now - record.last_message > this->options.suspect_after;
   });
 }
 
-Heard Membership::OnHostMessage(Instant now,
-                                const HostId& host,
-                                const DataCentreId& data_centre,
-                                uint64_t incarnation,
-                                bool leaving) {
+SenderStatus Membership::OnHostMessage(Instant now,
+                                       const HostId& host,
+                                       const DataCentreId& data_centre,
+                                       uint64_t incarnation,
+                                       bool leaving) {
   if (host == this->options.self.host) {
     this->superseded |= incarnation > this->options.incarnation;
-    return Heard::kSelf;
+    return SenderStatus::kSelf;
   }
   Record& record = this->records[host];
   if (incarnation < record.incarnation) {
-    return Heard::kSuperseded;
+    return SenderStatus::kSuperseded;
   }
   if (incarnation > record.incarnation) {
     // The first known incarnation keeps the list's "leaving". A later one is a
@@ -78,12 +78,12 @@
   }
   record.peer.host = host;
   record.peer.data_centre = data_centre;
-  record.heard = now;
+  record.last_message = now;
   // Within one incarnation "leaving" is final: a "live" after it comes from a
   // delayed message or the lagging list.
   record.leaving =
       leaving || (this->options.leaving_is_final && record.leaving);
-  return Heard::kCurrent;
+  return SenderStatus::kCurrent;
 }
 
 void Membership::OnLinkDown(Instant now, const HostId& host) {
@@ -91,7 +91,7 @@
   if (found == this->records.end()) {
     return;
   }
-  auto& failures = found->second.breaks;
+  auto& failures = found->second.link_failures;
   failures.push_back(now);
   while (failures.size() > static_cast<size_t>(this->options.flap_limit)) {
     failures.pop_front();
@@ -99,16 +99,16 @@
 }
 
 bool Membership::Flapping(Instant now, const Record& record) const {
-  return record.breaks.size() >=
+  return record.link_failures.size() >=
              static_cast<size_t>(this->options.flap_limit) &&
-         now - record.breaks.front() < this->options.flap_window;
+         now - record.link_failures.front() < this->options.flap_window;
 }
 
 HostState Membership::State(Instant now, const Record& record) const {
-  const Duration silence = now - record.heard;
+  const Duration silence = now - record.last_message;
   const bool contacted = record.incarnation != 0;
   // Remote hosts without a link to this one have the state that is listed.
-  if (!this->Local(record) && !record.expected && record.listed) {
+  if (!this->Local(record) && !record.link_wanted && record.listed) {
     return record.leaving ? HostState::kLeaving : HostState::kLive;
   }
   if (silence > this->options.gone_after &&
@@ -214,11 +214,12 @@
     // A silent host of another data centre is retried only after `gone_after`;
     // until then the next host of its data centre is linked instead.
     const bool in_retry_delay =
-        record.expected && now - record.heard <= this->options.gone_after;
-    if (want && !std::exchange(record.expected, true)) {
-      record.heard = std::max(record.heard, now);
+        record.link_wanted &&
+        now - record.last_message <= this->options.gone_after;
+    if (want && !std::exchange(record.link_wanted, true)) {
+      record.last_message = std::max(record.last_message, now);
     } else if (!want && !this->Local(record) && !in_retry_delay) {
-      record.expected = false;
+      record.link_wanted = false;
     }
     if (want && record.peer.address.port != 0) {
       links.push_back(record.peer);
--- a/packages/decisions/membership.h
+++ b/packages/decisions/membership.h
@@ -84,7 +84,7 @@
 };
 
 // The status of a message's sender.
-enum class Heard {
+enum class SenderStatus {
   kCurrent,     // the latest known incarnation, or a newer one
   kSuperseded,  // an earlier incarnation, or a second process with the same id
   kSelf,        // another process has this host's own id
@@ -106,11 +106,11 @@
 
   // A message of a host arrived over its link. The caller must drop the host's
   // digest unless the result is kCurrent.
-  Heard OnHostMessage(Instant now,
-                      const HostId& host,
-                      const DataCentreId& data_centre,
-                      uint64_t incarnation,
-                      bool leaving);
+  SenderStatus OnHostMessage(Instant now,
+                             const HostId& host,
+                             const DataCentreId& data_centre,
+                             uint64_t incarnation,
+                             bool leaving);
 
   // The link to a host broke.
   void OnLinkDown(Instant now, const HostId& host);
@@ -163,9 +163,9 @@
     // The platform's list reports it as leaving; applies to the incarnation
     // that was known then.
     bool listed_leaving = false;
-    bool expected = false;  // a link is wanted, so silence means a failure
-    Instant heard{};        // last message, or when it was listed or wanted
-    std::deque<Instant> breaks;
+    bool link_wanted = false;  // a link is wanted, so silence means a failure
+    Instant last_message{};    // last message, or when it was listed or wanted
+    std::deque<Instant> link_failures;
   };
 
   bool Local(const Record& record) const {
--- a/packages/decisions/placement.cc
+++ b/packages/decisions/placement.cc
@@ -147,7 +147,7 @@
   };
   const bool is_prompt_heavy =
       load(EndpointRole::kPrefill) < load(EndpointRole::kDecode);
-  return is_prompt_heavy ? this->prompts : this->answers;
+  return is_prompt_heavy ? this->prompt_heavy : this->output_heavy;
 }
 
 void Planner::OnRequest(int64_t prompt_tokens, int64_t output_tokens) {
@@ -192,7 +192,8 @@
     traffic_class.output_tokens = 0;
     return work;
   };
-  this->history.push_front({close(this->prompts), close(this->answers)});
+  this->history.push_front(
+      {close(this->prompt_heavy), close(this->output_heavy)});
   this->history.resize(std::min(this->history.size(), kSamplesKept));
   this->sample_began = now;
 }
@@ -205,7 +206,8 @@
 }
 
 Planner::Mix Planner::ForecastMix() const {
-  return {this->Forecast(this->prompts), this->Forecast(this->answers)};
+  return {this->Forecast(this->prompt_heavy),
+          this->Forecast(this->output_heavy)};
 }
 
 // The weighted mean of the capacity ratio over the forecast and all past mixes.
@@ -214,7 +216,7 @@
   const auto carried = [&](const Mix& mix) {
     return std::min(
         this->options.headroom,
-        CapacityRatio(mix.prompts, mix.answers, counts, this->rates));
+        CapacityRatio(mix.prompt_heavy, mix.output_heavy, counts, this->rates));
   };
   double sum = 0;
   double weights = 0;
@@ -233,7 +235,8 @@
     const std::vector<EndpointState>& endpoints) const {
   const Counts counts = CountRoles(endpoints);
   const auto carried = [&](const Mix& mix) {
-    return CapacityRatio(mix.prompts, mix.answers, counts, this->rates);
+    return CapacityRatio(mix.prompt_heavy, mix.output_heavy, counts,
+                         this->rates);
   };
   double least = carried(this->ForecastMix());
   for (const Mix& mix : this->history | std::views::take(kRecentSamples)) {
@@ -361,7 +364,7 @@
   });
 }
 
-std::optional<CapacityProposal> Planner::GiveBack(
+std::optional<CapacityProposal> Planner::BestRelease(
     const std::vector<EndpointState>& endpoints,
     int64_t floor) const {
   std::map<DataCentreId, int64_t> counts;
@@ -440,7 +443,7 @@
         .reason = "forecast work exceeds what is carried"};
   }
   if (in_surplus) {
-    return this->GiveBack(endpoints, min_per_data_centre);
+    return this->BestRelease(endpoints, min_per_data_centre);
   }
   return {};
 }
--- a/packages/decisions/placement.h
+++ b/packages/decisions/placement.h
@@ -208,8 +208,8 @@
 
   // Demand of both traffic classes over one sample.
   struct Mix {
-    WorkRate prompts;
-    WorkRate answers;
+    WorkRate prompt_heavy;
+    WorkRate output_heavy;
   };
 
   TrafficClass& TrafficClassOf(int64_t prompt_tokens, int64_t output_tokens);
@@ -219,7 +219,7 @@
   std::optional<PlacementProposal> BestRoleChange(
       const std::vector<EndpointState>& endpoints,
       const DataCentreId& data_centre) const;
-  std::optional<CapacityProposal> GiveBack(
+  std::optional<CapacityProposal> BestRelease(
       const std::vector<EndpointState>& endpoints,
       int64_t floor) const;
   bool SurvivesZoneLoss(const std::vector<EndpointState>& endpoints,
@@ -228,8 +228,8 @@
   ServiceId service;
   RoleRatesTable rates;
   PlannerOptions options;
-  TrafficClass prompts;
-  TrafficClass answers;
+  TrafficClass prompt_heavy;
+  TrafficClass output_heavy;
   Instant sample_began{};
   std::deque<Mix> history;  // latest first
   std::map<DataCentreId, Instant> last_change;
--- a/packages/decisions/prefix_cache.cc
+++ b/packages/decisions/prefix_cache.cc
@@ -18,49 +18,49 @@
     return;
   }
   if (restarted || event.snapshot) {
-    this->pieces.clear();
+    this->blocks.clear();
   }
   const bool gap =
       restarted ? event.sequence > 1 : event.sequence != this->sequence + 1;
-  this->sure = event.snapshot || (this->sure && !gap);
+  this->in_sync = event.snapshot || (this->in_sync && !gap);
   if (restarted && !gap) {
-    this->sure = true;
+    this->in_sync = true;
   }
   this->incarnation = event.incarnation;
   this->sequence = event.sequence;
   for (const uint64_t block : event.removed) {
-    this->pieces.erase(block);
+    this->blocks.erase(block);
   }
   for (const uint64_t block : event.added) {
     this->Add(block);
   }
 }
 
-void PrefixCache::Expect(const std::vector<uint64_t>& prefix_hashes) {
+void PrefixCache::AssumeCached(const std::vector<uint64_t>& prefix_hashes) {
   for (const uint64_t block : prefix_hashes) {
     this->Add(block);
   }
 }
 
 void PrefixCache::Add(uint64_t block) {
-  if (this->pieces.size() >= kMaxBlocks) {
+  if (this->blocks.size() >= kMaxBlocks) {
     // Evicts an arbitrary block to bound the memory.
-    this->pieces.erase(this->pieces.begin());
-    this->sure = false;
+    this->blocks.erase(this->blocks.begin());
+    this->in_sync = false;
   }
-  this->pieces.insert(block);
+  this->blocks.insert(block);
 }
 
 double PrefixCache::HitShare(const std::vector<uint64_t>& prefix_hashes) const {
-  if (prefix_hashes.empty() || this->pieces.empty()) {
+  if (prefix_hashes.empty() || this->blocks.empty()) {
     return 0;
   }
   const auto miss = std::ranges::find_if(prefix_hashes, [this](uint64_t block) {
-    return !this->pieces.contains(block);
+    return !this->blocks.contains(block);
   });
   const auto hits = static_cast<double>(miss - prefix_hashes.begin());
   const double share = hits / static_cast<double>(prefix_hashes.size());
-  return this->sure ? share : share * kOutOfSyncFactor;
+  return this->in_sync ? share : share * kOutOfSyncFactor;
 }
 
 }  // namespace hickorystand
--- a/packages/decisions/prefix_cache.h
+++ b/packages/decisions/prefix_cache.h
@@ -22,22 +22,22 @@
 
   // Adds the prefixes of a prompt that was sent to the endpoint, which will be
   // in its cache before the cache event arrives.
-  void Expect(const std::vector<uint64_t>& prefix_hashes);
+  void AssumeCached(const std::vector<uint64_t>& prefix_hashes);
 
   // The expected share of a prompt that is cached, 0 to 1.
   double HitShare(const std::vector<uint64_t>& prefix_hashes) const;
 
   // False after lost events, until the next snapshot.
-  bool InSync() const { return this->sure; }
-  size_t Size() const { return this->pieces.size(); }
+  bool InSync() const { return this->in_sync; }
+  size_t Size() const { return this->blocks.size(); }
 
  private:
   void Add(uint64_t block);
 
-  std::unordered_set<uint64_t> pieces;
+  std::unordered_set<uint64_t> blocks;
   uint64_t incarnation = 0;
   int64_t sequence = 0;
-  bool sure = true;
+  bool in_sync = true;
 };
 
 }  // namespace hickorystand
--- a/packages/decisions/request.h
+++ b/packages/decisions/request.h
@@ -24,7 +24,7 @@
   kInteractive,  // a user waits; an answer after the deadline is useless
   kBatch,        // may wait, must complete eventually
   kLookup,       // idempotent and short; may be hedged
-  kOnce,         // non-idempotent: runs at most once
+  kAtMostOnce,   // non-idempotent: runs at most once
 };
 
 // One request as it arrived. Immutable.
@@ -58,7 +58,7 @@
   kRejected,     // the endpoint reported that the request is invalid
   kBroken,       // the answer was truncated; the endpoint is still up
   kCrashed,      // the endpoint crashed while it ran the request
-  kSilent,       // timeout: no progress on this connection
+  kStalled,      // timeout: no progress on this connection
   kWrongAnswer,  // carried another request's id, or violated the protocol
   kCancelled,    // this host cancelled it
 };
--- a/packages/decisions/round_robin_dispatcher.cc
+++ b/packages/decisions/round_robin_dispatcher.cc
@@ -41,7 +41,7 @@
     {O::kRefused,       true,  true, K::kNoEndpoint,        K::kNoEndpoint},
     {O::kBroken,        false, true, K::kOutcomeUnknown,    K::kBrokenAnswer},
     {O::kCrashed,       false, true, K::kOutcomeUnknown,    K::kEndpointFailed},
-    {O::kSilent,        false, true, K::kOutcomeUnknown,    K::kTimeout},
+    {O::kStalled,        false, true, K::kOutcomeUnknown,    K::kTimeout},
     {O::kWrongAnswer,   false, true, K::kOutcomeUnknown,    K::kEndpointFailed},
 };
 // clang-format on
@@ -74,7 +74,7 @@
  private:
   enum class State { kQueued, kClaiming, kRunning };
 
-  struct Live {
+  struct ActiveRequest {
     Request request;
     State state = State::kQueued;
     AttemptId attempt = 0;  // of kRunning
@@ -86,19 +86,19 @@
     bool caller_gone = false;
   };
 
-  std::optional<EndpointId> Choose(const Live& active);
-  bool Usable(const Live& active,
+  std::optional<EndpointId> Choose(const ActiveRequest& active);
+  bool Usable(const ActiveRequest& active,
               const Endpoint& endpoint,
               bool anywhere) const;
-  DispatchList TryToSend(Live& active);
+  DispatchList TryToSend(ActiveRequest& active);
   DispatchList Refuse(const RequestId& id, ErrorKind kind, std::string reason);
-  DispatchList Forget(const RequestId& id, Dispatch last);
-  Live* FindAttempt(AttemptId attempt);
+  DispatchList RemoveRequest(const RequestId& id, Dispatch last);
+  ActiveRequest* FindAttempt(AttemptId attempt);
   int64_t CountIn(State state) const;
 
   DispatcherOptions options;
   ConfigurationPtr configuration = std::make_shared<Configuration>();
-  std::map<RequestId, Live> live;
+  std::map<RequestId, ActiveRequest> active_requests;
   std::map<AttemptId, RequestId> attempts;
   std::set<EndpointId> leaving;
   std::map<ServiceId, EndpointId> last;  // chosen last
@@ -123,9 +123,10 @@
              .error = Error{K::kOverloaded, "Too many requests are waiting.",
                             kRetryAfter}}};
   }
-  const auto [entry, inserted] = this->live.emplace(request.id, Live{request});
+  const auto [entry, inserted] =
+      this->active_requests.emplace(request.id, ActiveRequest{request});
   assert(inserted && "request id is already in use");
-  if (request.request_class == RequestClass::kOnce) {
+  if (request.request_class == RequestClass::kAtMostOnce) {
     entry->second.state = State::kClaiming;
     return {{.kind = DispatchKind::kClaim,
              .request = request.id,
@@ -137,8 +138,8 @@
 DispatchList RoundRobinDispatcher::OnClaim(Instant,
                                            const RequestId& id,
                                            ClaimResult result) {
-  const auto found = this->live.find(id);
-  if (found == this->live.end()) {
+  const auto found = this->active_requests.find(id);
+  if (found == this->active_requests.end()) {
     return {};
   }
   assert(found->second.state == State::kClaiming &&
@@ -159,7 +160,7 @@
 DispatchList RoundRobinDispatcher::OnProgress(Instant,
                                               AttemptId attempt,
                                               int64_t generated_tokens) {
-  if (Live* request = this->FindAttempt(attempt)) {
+  if (ActiveRequest* request = this->FindAttempt(attempt)) {
     request->delivered += generated_tokens;
   }
   return {};
@@ -167,17 +168,17 @@
 
 DispatchList RoundRobinDispatcher::OnResult(Instant,
                                             const AttemptResult& result) {
-  Live* request = this->FindAttempt(result.attempt);
+  ActiveRequest* request = this->FindAttempt(result.attempt);
   if (request == nullptr) {
     return {};
   }
   const RequestId id = request->request.id;
-  const bool once = request->request.request_class == RequestClass::kOnce;
+  const bool once = request->request.request_class == RequestClass::kAtMostOnce;
   this->attempts.erase(result.attempt);
   const auto* row =
       std::ranges::find(kResults, result.outcome, &ResultRow::outcome);
   if (row == std::end(kResults)) {
-    return this->Forget(
+    return this->RemoveRequest(
         id,
         {.kind = DispatchKind::kFinish, .request = id, .reason = "answered"});
   }
@@ -194,15 +195,15 @@
 
 DispatchList RoundRobinDispatcher::OnCallerDisconnected(Instant,
                                                         const RequestId& id) {
-  const auto found = this->live.find(id);
-  if (found == this->live.end()) {
+  const auto found = this->active_requests.find(id);
+  if (found == this->active_requests.end()) {
     return {};
   }
-  Live& request = found->second;
+  ActiveRequest& request = found->second;
   // A non-idempotent request in flight is not cancelled: that would leave its
   // outcome unknown.
   if (request.state == State::kRunning &&
-      request.request.request_class == RequestClass::kOnce) {
+      request.request.request_class == RequestClass::kAtMostOnce) {
     request.caller_gone = true;
     return {};
   }
@@ -215,7 +216,7 @@
                        .reason = "caller gone"});
     this->attempts.erase(request.attempt);
   }
-  this->live.erase(found);
+  this->active_requests.erase(found);
   return actions;
 }
 
@@ -229,7 +230,7 @@
 }
 
 DispatchList RoundRobinDispatcher::OnDigest(Instant, const Digest& digest) {
-  for (const EndpointNews& state : digest.endpoints) {
+  for (const EndpointStatus& state : digest.endpoints) {
     if (state.leaving || state.down) {
       this->leaving.insert(state.endpoint);
     }
@@ -239,14 +240,14 @@
 
 DispatchList RoundRobinDispatcher::OnTick(Instant now) {
   std::vector<RequestId> waiting;
-  for (const auto& [id, request] : this->live) {
+  for (const auto& [id, request] : this->active_requests) {
     if (request.state == State::kQueued) {
       waiting.push_back(id);
     }
   }
   DispatchList actions;
   for (const RequestId& id : waiting) {
-    Live& request = this->live.at(id);
+    ActiveRequest& request = this->active_requests.at(id);
     const DispatchList more =
         now >= request.request.deadline
             ? this->Refuse(id, K::kDeadlineUnmeetable, "waited too long")
@@ -258,7 +259,7 @@
 
 void RoundRobinDispatcher::FillDigest(Digest& digest) const {
   std::map<EndpointId, EndpointOutstanding> outstanding;
-  for (const auto& [id, request] : this->live) {
+  for (const auto& [id, request] : this->active_requests) {
     if (request.state == State::kRunning) {
       EndpointOutstanding& row = outstanding[request.endpoint];
       row.endpoint = request.endpoint;
@@ -281,10 +282,11 @@
 
 int64_t RoundRobinDispatcher::CountIn(State state) const {
   return std::ranges::count(
-      this->live, state, [](const auto& entry) { return entry.second.state; });
+      this->active_requests, state,
+      [](const auto& entry) { return entry.second.state; });
 }
 
-bool RoundRobinDispatcher::Usable(const Live& active,
+bool RoundRobinDispatcher::Usable(const ActiveRequest& active,
                                   const Endpoint& endpoint,
                                   bool anywhere) const {
   return endpoint.service == active.request.service &&
@@ -293,12 +295,13 @@
          !active.tried.contains(endpoint.id) &&
          // A spot endpoint can be withdrawn while it runs the request.
          !(endpoint.cheap &&
-           active.request.request_class == RequestClass::kOnce);
+           active.request.request_class == RequestClass::kAtMostOnce);
 }
 
 // The next endpoint in turn. Endpoints of other data centres are used only if
 // this one has none.
-std::optional<EndpointId> RoundRobinDispatcher::Choose(const Live& active) {
+std::optional<EndpointId> RoundRobinDispatcher::Choose(
+    const ActiveRequest& active) {
   const EndpointId previous = this->last[active.request.service];
   for (const bool anywhere : {false, true}) {
     std::vector<EndpointId> usable;
@@ -315,9 +318,9 @@
   return std::nullopt;
 }
 
-DispatchList RoundRobinDispatcher::TryToSend(Live& active) {
+DispatchList RoundRobinDispatcher::TryToSend(ActiveRequest& active) {
   assert(active.state == State::kQueued && "only queued requests can be sent");
-  assert((active.request.request_class != RequestClass::kOnce ||
+  assert((active.request.request_class != RequestClass::kAtMostOnce ||
           !active.may_have_run) &&
          "non-idempotent request that may have run is sent again");
   std::optional<EndpointId> choice = this->Choose(active);
@@ -351,22 +354,24 @@
   if (AnswerFor(kind).retry) {
     error.retry_after = kRetryAfter;
   }
-  return this->Forget(id, {.kind = DispatchKind::kRefuse,
-                           .request = id,
-                           .reason = std::move(reason),
-                           .error = std::move(error)});
+  return this->RemoveRequest(id, {.kind = DispatchKind::kRefuse,
+                                  .request = id,
+                                  .reason = std::move(reason),
+                                  .error = std::move(error)});
 }
 
-DispatchList RoundRobinDispatcher::Forget(const RequestId& id, Dispatch last) {
-  this->live.erase(id);
+DispatchList RoundRobinDispatcher::RemoveRequest(const RequestId& id,
+                                                 Dispatch last) {
+  this->active_requests.erase(id);
   return {std::move(last)};
 }
 
-RoundRobinDispatcher::Live* RoundRobinDispatcher::FindAttempt(
+RoundRobinDispatcher::ActiveRequest* RoundRobinDispatcher::FindAttempt(
     AttemptId attempt) {
   const auto found = this->attempts.find(attempt);
-  return found == this->attempts.end() ? nullptr
-                                       : &this->live.at(found->second);
+  return found == this->attempts.end()
+             ? nullptr
+             : &this->active_requests.at(found->second);
 }
 
 [[maybe_unused]] const bool kRegistered = Registry<Dispatcher>::Add(
--- a/packages/decisions/router.cc
+++ b/packages/decisions/router.cc
@@ -37,7 +37,7 @@
 bool IsFailure(AttemptOutcome outcome) {
   return outcome == AttemptOutcome::kNotSent ||
          outcome == AttemptOutcome::kBroken ||
-         outcome == AttemptOutcome::kSilent ||
+         outcome == AttemptOutcome::kStalled ||
          outcome == AttemptOutcome::kWrongAnswer;
 }
 
@@ -69,7 +69,7 @@
                                    : kDefaultCapacity;
 }
 
-double EndpointView::Requests() const {
+double EndpointView::EstimatedRequests() const {
   return static_cast<double>(this->own_requests + this->peer_requests) +
          std::max(0.0, this->unattributed_requests);
 }
@@ -122,7 +122,7 @@
 // Resets the view for a new incarnation of the endpoint. The previous one is
 // remembered as retired, so that a delayed message about it cannot change the
 // state of the current one.
-void Router::Adopt(EndpointView& view, uint64_t incarnation) {
+void Router::StartIncarnation(EndpointView& view, uint64_t incarnation) {
   if (view.incarnation == incarnation) {
     return;
   }
@@ -152,7 +152,7 @@
        report.sequence <= view.report.sequence)) {
     return;
   }
-  this->Adopt(view, report.incarnation);
+  this->StartIncarnation(view, report.incarnation);
   if (report.leaving) {
     view.leaving.insert(report.incarnation);
     TrimIncarnations(view.leaving);
@@ -197,7 +197,7 @@
     outstanding = digest.outstanding;
     this->CountPeer(outstanding, 1);
   }
-  for (const EndpointNews& state : digest.endpoints) {
+  for (const EndpointStatus& state : digest.endpoints) {
     const auto found = this->views.find(state.endpoint);
     if (found == this->views.end() ||
         found->second.retired.contains(state.incarnation)) {
@@ -229,7 +229,7 @@
                     const EndpointView& view,
                     const RouteQuery& query) const {
   const Request& request = *query.request;
-  const bool once = request.request_class == RequestClass::kOnce;
+  const bool once = request.request_class == RequestClass::kAtMostOnce;
   if (view.Leaving() || (once && view.endpoint.cheap)) {
     return false;
   }
@@ -255,7 +255,7 @@
                                                 : this->options.overbook_ratio);
   const double max_seconds =
       this->options.max_prefill_seconds * (batch ? 0.5 : 1.0);
-  return view.Requests() < std::max(1.0, slots) &&
+  return view.EstimatedRequests() < std::max(1.0, slots) &&
          view.QueuedPrefillSeconds() < max_seconds;
 }
 
@@ -278,7 +278,7 @@
       this->options.eject_outliers ? Slowness(now, view) : 1;
   const bool remote = view.endpoint.data_centre != this->options.data_centre;
   const double overload_seconds =
-      std::max(0.0, view.Requests() + 1 - view.Capacity()) *
+      std::max(0.0, view.EstimatedRequests() + 1 - view.Capacity()) *
       static_cast<double>(request.output_tokens) / view.DecodeRate();
   const double seconds = (view.QueuedPrefillSeconds() +
                           static_cast<double>(missed) / view.PrefillRate()) *
@@ -288,7 +288,7 @@
   // Work is weighted by the occupancy of the batch: decoding one more request
   // costs little on a nearly empty engine, but delays others on a nearly full
   // one.
-  const double occupancy = view.Requests() / view.Capacity();
+  const double occupancy = view.EstimatedRequests() / view.Capacity();
   const double work =
       static_cast<double>(missed) / view.PrefillRate() +
       static_cast<double>(request.output_tokens) / view.DecodeRate();
@@ -313,9 +313,9 @@
   }
   const double least = std::ranges::min(works | std::views::keys);
   for (const auto& [work, view] : works) {
-    if (work <= least * this->options.fit &&
+    if (work <= least * this->options.max_fit_ratio &&
         !this->HasRoom(*view, request.request_class)) {
-      view->reserved_until = now + this->options.wanted;
+      view->reserved_until = now + this->options.reserve_time;
     }
   }
   return least;
@@ -325,12 +325,13 @@
                                     const ScoredEndpoint& scored,
                                     const RouteQuery& query) const {
   if (query.least_work == 0 || query.ignore_room || query.suspect ||
-      scored.work <= query.least_work * this->options.fit) {
+      scored.work <= query.least_work * this->options.max_fit_ratio) {
     return true;
   }
   const EndpointView& view = *scored.view;
   return now >= view.reserved_until &&
-         view.Requests() < view.Capacity() * this->options.misfit_occupancy &&
+         view.EstimatedRequests() <
+             view.Capacity() * this->options.misfit_occupancy &&
          view.QueuedPrefillSeconds() < this->options.misfit_prefill_seconds;
 }
 
@@ -349,7 +350,7 @@
   const ScoredEndpoint& first = sorted[any(this->random)];
   const ScoredEndpoint& second = sorted[any(this->random)];
   const auto load = [](const ScoredEndpoint& scored) {
-    return scored.view->Requests() / scored.view->Capacity();
+    return scored.view->EstimatedRequests() / scored.view->Capacity();
   };
   return load(second) < load(first) ? second : first;
 }
@@ -375,7 +376,7 @@
   // new connection. Otherwise a service with a single endpoint would never be
   // retried, and an endpoint that receives only non-idempotent requests would
   // never leave probation.
-  const bool once = query.request->request_class == RequestClass::kOnce;
+  const bool once = query.request->request_class == RequestClass::kAtMostOnce;
   const bool has_alternative =
       this->HasAlternative(now, *query.request, query.avoid);
   std::erase_if(scored, [&](const ScoredEndpoint& one) {
@@ -393,7 +394,8 @@
   // A suspected request goes to the endpoint with the fewest requests, so that
   // a crash affects as few others as possible.
   std::ranges::sort(scored, {}, [&](const ScoredEndpoint& one) {
-    return std::pair(query.suspect ? one.view->Requests() : 0, one.score);
+    return std::pair(query.suspect ? one.view->EstimatedRequests() : 0,
+                     one.score);
   });
   const ScoredEndpoint& chosen =
       query.suspect ? scored.front() : this->PickAmongEquals(scored);
@@ -426,7 +428,7 @@
                             const Request& request,
                             const std::set<EndpointId>& avoid) const {
   const auto found = this->by_service.find(request.service);
-  const bool once = request.request_class == RequestClass::kOnce;
+  const bool once = request.request_class == RequestClass::kAtMostOnce;
   return found != this->by_service.end() &&
          std::ranges::any_of(found->second, [&](const EndpointView* view) {
            return !view->Leaving() && !view->Ejected(now) &&
@@ -468,14 +470,14 @@
   EndpointView& view = this->views.at(endpoint);
   // A request on a leaving endpoint would be aborted when the endpoint stops.
   assert(!view.Leaving() && "request sent to a leaving endpoint");
-  assert(
-      (request.request_class != RequestClass::kOnce || !view.endpoint.cheap) &&
-      "non-idempotent request sent to a spot endpoint");
+  assert((request.request_class != RequestClass::kAtMostOnce ||
+          !view.endpoint.cheap) &&
+         "non-idempotent request sent to a spot endpoint");
   view.own_requests += 1;
   view.own_prompt_tokens += route.missed_tokens;
   view.own_suspects += suspect ? 1 : 0;
   view.probing = view.probing || route.probe;
-  view.cache.Expect(request.prefix_hashes);
+  view.cache.AssumeCached(request.prefix_hashes);
 }
 
 void Router::OnFirstToken(Instant now,
--- a/packages/decisions/router.h
+++ b/packages/decisions/router.h
@@ -59,12 +59,12 @@
   double max_prefill_seconds = 1.0;
   // A request fits where it takes at most this multiple of the least engine
   // time. Others may fill only a share of the batch and of the prefill queue.
-  double fit = 1.4;
+  double max_fit_ratio = 1.4;
   double misfit_occupancy = 0.7;
   double misfit_prefill_seconds = 0.3;
   // How long a full endpoint refuses poor fits after a fitting request needed
   // it.
-  Duration wanted = std::chrono::seconds(10);
+  Duration reserve_time = std::chrono::seconds(10);
   // Requests sent per slot of the engine's batch.
   double overbook_ratio = 1.1;
 
@@ -130,7 +130,7 @@
   double DecodeRate() const;
   double Capacity() const;
   // Estimated requests in flight, from all hosts.
-  double Requests() const;
+  double EstimatedRequests() const;
   // Time to prefill the queued prompts, if the engine did nothing else.
   double QueuedPrefillSeconds() const;
 };
@@ -206,7 +206,7 @@
   };
 
   EndpointView& View(const EndpointId& endpoint);
-  void Adopt(EndpointView& view, uint64_t incarnation);
+  void StartIncarnation(EndpointView& view, uint64_t incarnation);
   bool Usable(Instant now,
               const EndpointView& view,
               const RouteQuery& query) const;
--- a/packages/decisions/scale_plan.cc
+++ b/packages/decisions/scale_plan.cc
@@ -49,7 +49,7 @@
   }
 }
 
-int64_t Live(const EnginesByZone& engines) {
+int64_t TotalEngines(const EnginesByZone& engines) {
   int64_t live = 0;
   for (const auto& [zone, counts] : engines) {
     live += counts.on_demand + counts.spot;
@@ -111,7 +111,7 @@
       zones, on_demand,
       [&](const ZoneId& zone) { return plan[zone].on_demand < bounds.maximum; },
       [&](const ZoneId& zone) { ++plan[zone].on_demand; });
-  int64_t spare = std::max<int64_t>(Live(now) - needed, 0);
+  int64_t spare = std::max<int64_t>(TotalEngines(now) - needed, 0);
   for (auto& [zone, counts] : plan) {
     const int64_t current = In(now, zone).on_demand;
     if (current > counts.on_demand) {
@@ -131,7 +131,7 @@
         },
         [&](const ZoneId& zone) { ++plan.at(zone).spot; });
   }
-  DistributeOverZones(zones, needed - Live(plan), in_bounds,
+  DistributeOverZones(zones, needed - TotalEngines(plan), in_bounds,
                       [&](const ZoneId& zone) { ++plan.at(zone).on_demand; });
   return plan;
 }
--- a/packages/decisions/scheduler_choice.cc
+++ b/packages/decisions/scheduler_choice.cc
@@ -27,14 +27,14 @@
   });
   // A linked scheduler reports its state only when it changes, which may have
   // been before the scheduler was listed here.
-  for (const auto& [id, reported] : this->news) {
+  for (const auto& [id, reported] : this->reported_states) {
     this->Apply(id, reported);
   }
 }
 
-void SchedulerChoice::OnNews(const HostId& scheduler,
-                             const SchedulerState& reported) {
-  this->news[scheduler] = reported;
+void SchedulerChoice::OnState(const HostId& scheduler,
+                              const SchedulerState& reported) {
+  this->reported_states[scheduler] = reported;
   this->Apply(scheduler, reported);
 }
 
@@ -47,10 +47,10 @@
     return;
   }
   State& state = found->second;
-  if (reported.ready && !state.told.ready) {
+  if (reported.ready && !state.reported.ready) {
     state.forwarded = std::max(state.forwarded, this->LeastForwarded());
   }
-  state.told = reported;
+  state.reported = reported;
   this->version = std::max(this->version, reported.version);
 }
 
@@ -58,24 +58,24 @@
   this->version = std::max(this->version, applied_version);
 }
 
-void SchedulerChoice::OnLost(const HostId& scheduler) {
-  this->news.erase(scheduler);
+void SchedulerChoice::OnLinkLost(const HostId& scheduler) {
+  this->reported_states.erase(scheduler);
   const auto found = this->states.find(scheduler);
   if (found != this->states.end()) {
-    found->second.told = {};
+    found->second.reported = {};
     found->second.in_flight = 0;
   }
 }
 
 bool SchedulerChoice::Serves(const State& state) const {
-  return state.told.ready && state.told.version >= this->version;
+  return state.reported.ready && state.reported.version >= this->version;
 }
 
 // Draining schedulers are left out: they get fewer requests than their share.
 double SchedulerChoice::LeastForwarded() const {
   std::optional<double> least;
   for (const auto& [id, state] : this->states) {
-    if (state.told.ready && !state.told.draining) {
+    if (state.reported.ready && !state.reported.draining) {
       least = std::min(least.value_or(state.forwarded), state.forwarded);
     }
   }
@@ -85,7 +85,7 @@
 int64_t SchedulerChoice::LeastInFlight() const {
   std::optional<int64_t> least;
   for (const auto& [id, state] : this->states) {
-    if (state.told.ready && !state.told.draining) {
+    if (state.reported.ready && !state.reported.draining) {
       least = std::min(least.value_or(state.in_flight), state.in_flight);
     }
   }
@@ -103,17 +103,17 @@
       continue;
     }
     strongest = std::max(strongest, state.host.capacity);
-    if (!state.told.draining) {
+    if (!state.reported.draining) {
       strongest_staying = std::max(strongest_staying, state.host.capacity);
     }
   }
   const auto rank = [&](const State& state) {
-    return std::tuple(!state.told.keys_proven,
-                      state.told.draining &&
+    return std::tuple(!state.reported.keys_proven,
+                      state.reported.draining &&
                           !IsMuchWeaker(strongest_staying, state.host.capacity),
                       state.in_flight > stuck_at,
                       IsMuchWeaker(state.host.capacity, strongest),
-                      state.host.zone != this->own, state.told.busy,
+                      state.host.zone != this->own_zone, state.reported.busy,
                       state.forwarded);
   };
   for (const auto& [id, state] : this->states) {
