--- a/packages/decisions/scheduler_choice.h
+++ b/packages/decisions/scheduler_choice.h
@@ -32,21 +32,21 @@
 
 class SchedulerChoice {
  public:
-  explicit SchedulerChoice(ZoneId own) : own(std::move(own)) {}
+  explicit SchedulerChoice(ZoneId own) : own_zone(std::move(own)) {}
 
   // Replaces the list of schedulers. A listed scheduler can be chosen once it
   // has reported its state.
   void SetSchedulers(const std::vector<FleetHost>& schedulers);
 
   // Records the state that a linked scheduler reported.
-  void OnNews(const HostId& scheduler, const SchedulerState& reported);
+  void OnState(const HostId& scheduler, const SchedulerState& reported);
 
   // Records that this host has applied a configuration version itself.
   // Schedulers with an older version are no longer chosen.
   void NoteAppliedVersion(int64_t applied_version);
 
   // Records that the link to a scheduler was lost.
-  void OnLost(const HostId& scheduler);
+  void OnLinkLost(const HostId& scheduler);
 
   // Returns the scheduler for a request that was not forwarded to `tried`
   // before; nullopt if there is none.
@@ -65,7 +65,7 @@
  private:
   struct State {
     FleetHost host;
-    SchedulerState told;  // copy of the entry in `reported_states`
+    SchedulerState reported;  // copy of the entry in `reported_states`
     int64_t in_flight = 0;
     double forwarded = 0;  // requests per unit of capacity
   };
@@ -75,10 +75,10 @@
   double LeastForwarded() const;
   int64_t LeastInFlight() const;
 
-  ZoneId own;
+  ZoneId own_zone;
   int64_t version = 0;
-  std::map<HostId, State> states;         // of the listed schedulers
-  std::map<HostId, SchedulerState> news;  // of all linked ones
+  std::map<HostId, State> states;                    // of the listed schedulers
+  std::map<HostId, SchedulerState> reported_states;  // of all linked ones
 };
 
 }  // namespace hickorystand
--- a/packages/decisions/stop_schedule.cc
+++ b/packages/decisions/stop_schedule.cc
@@ -33,7 +33,7 @@
 }
 
 bool StopSchedule::MayAccept(Instant now, const AnswerDuration& need) const {
-  const Duration left = this->Left(now);
+  const Duration left = this->Remaining(now);
   return need.limit <= left ||
          (now < this->accept_until && CanFinish(left, need));
 }
--- a/packages/decisions/stop_schedule.h
+++ b/packages/decisions/stop_schedule.h
@@ -45,7 +45,7 @@
   // is not sufficient: the request's limit must end before `finish_by`.
   bool MayAccept(Instant now, const AnswerDuration& need) const;
 
-  Duration Left(Instant now) const { return this->finish_by - now; }
+  Duration Remaining(Instant now) const { return this->finish_by - now; }
 
   auto operator<=>(const StopSchedule&) const = default;
 };
--- a/packages/decisions/store.h
+++ b/packages/decisions/store.h
@@ -67,7 +67,7 @@
   std::vector<StoreOperation> otherwise;
   // A transaction that only reads may return data that is seconds old. A
   // service for which such reads are no cheaper may ignore this.
-  bool stale = false;
+  bool allow_stale = false;
 
   auto operator<=>(const StoreTransaction&) const = default;
 };
--- a/packages/decisions/suspects.cc
+++ b/packages/decisions/suspects.cc
@@ -86,7 +86,7 @@
   const auto in = [&](const Entries& entries) -> int64_t {
     const auto found = entries.find(fingerprint);
     const bool fresh = found != entries.end() &&
-                       now - found->second.seen <= this->options.memory;
+                       now - found->second.seen <= this->options.retention;
     return fresh ? found->second.crashes : 0;
   };
   int64_t crashes = in(this->own);
@@ -119,7 +119,7 @@
 
 void Suspects::Forget(Instant now) {
   const auto stale = [&](const auto& entry) {
-    return now - entry.second.seen > this->options.memory;
+    return now - entry.second.seen > this->options.retention;
   };
   std::erase_if(this->own, stale);
   while (this->own.size() > this->options.capacity) {
--- a/packages/decisions/suspects.h
+++ b/packages/decisions/suspects.h
@@ -26,7 +26,7 @@
 // Thresholds and sizes.
 struct SuspectsOptions {
   int64_t block_after_crashes = 2;  // crashes until a request is refused
-  Duration memory = std::chrono::minutes(10);
+  Duration retention = std::chrono::minutes(10);
   Duration zone_loss_window = std::chrono::seconds(3);
   size_t capacity = 4096;     // fingerprints kept
   size_t max_in_digest = 64;  // fingerprints sent to peers
--- a/packages/decisions/usage.cc
+++ b/packages/decisions/usage.cc
@@ -9,7 +9,7 @@
 namespace hickorystand {
 namespace {
 
-const UsageCount kNothing;
+const UsageCount kNoUsage;
 
 void WriteCounts(JsonWriter& out,
                  const std::string& name,
@@ -64,7 +64,7 @@
 
 const UsageCount& Find(const AccountUsage& counts, const AccountId& account) {
   const auto found = counts.find(account);
-  return found == counts.end() ? kNothing : found->second;
+  return found == counts.end() ? kNoUsage : found->second;
 }
 
 bool HasEnded(const UsageWindow& window, const UsageSource& source) {
@@ -86,7 +86,7 @@
     const UsageCount reached = Find(counted, account).Highest(count);
     const UsageCount grown = reached.Minus(Find(counted, account));
     assert(IsNonNegative(grown) && "usage counted in a window never decreases");
-    if (grown != kNothing) {
+    if (grown != kNoUsage) {
       UsageCount& figure = window.figures[account];
       figure = figure.Plus(grown);
     }
@@ -141,7 +141,7 @@
   return copies;
 }
 
-void UsageLedger::Forget(const UsageSource& source) {
+void UsageLedger::Remove(const UsageSource& source) {
   this->sources.erase(source);
 }
 
--- a/packages/decisions/usage.h
+++ b/packages/decisions/usage.h
@@ -96,7 +96,7 @@
   std::vector<UsageCopy> Copies() const;
 
   // Erases a source that no window needs any more.
-  void Forget(const UsageSource& source);
+  void Remove(const UsageSource& source);
 
   const SourceUsage& Sources() const { return this->sources; }
 
--- a/packages/decisions/usage_windows.cc
+++ b/packages/decisions/usage_windows.cc
@@ -88,7 +88,7 @@
 }
 
 WindowCopy UsageWindows::OwnCopy(int64_t unix_ms) {
-  this->Forget(this->WindowAt(unix_ms) - kKeptWindows);
+  this->DropOldWindows(this->WindowAt(unix_ms) - kKeptWindows);
   WindowCopy& own = this->copies[this->self];
   own.source = this->self;
   own.until_ms = std::max(own.until_ms, unix_ms);
@@ -130,14 +130,14 @@
   return total;
 }
 
-bool UsageWindows::Knows(const HostId& host, int64_t number) const {
+bool UsageWindows::HasCompleteCounts(const HostId& host, int64_t number) const {
   return std::ranges::any_of(this->copies, [&](const auto& entry) {
     return entry.first.host == host &&
            entry.second.until_ms >= this->EndOf(number);
   });
 }
 
-void UsageWindows::Forget(int64_t oldest) {
+void UsageWindows::DropOldWindows(int64_t oldest) {
   for (auto& [source, copy] : this->copies) {
     copy.windows.erase(copy.windows.begin(), copy.windows.lower_bound(oldest));
   }
--- a/packages/decisions/usage_windows.h
+++ b/packages/decisions/usage_windows.h
@@ -76,13 +76,13 @@
   WindowCounts Total(int64_t window) const;
 
   // Whether a host's counts are complete up to the end of a window.
-  bool Knows(const HostId& host, int64_t window) const;
+  bool HasCompleteCounts(const HostId& host, int64_t window) const;
 
   int64_t WindowAt(int64_t unix_ms) const;
   int64_t EndOf(int64_t window) const;  // Unix milliseconds
 
  private:
-  void Forget(int64_t oldest);
+  void DropOldWindows(int64_t oldest);
 
   UsageSource self;
   Duration window;
--- a/packages/endpoints/attempt.cc
+++ b/packages/endpoints/attempt.cc
@@ -27,7 +27,7 @@
     OutcomeRow{HttpEnd::kNoEndMarker, AttemptOutcome::kBroken},
     OutcomeRow{HttpEnd::kNotSent, AttemptOutcome::kNotSent},
     OutcomeRow{HttpEnd::kReset, AttemptOutcome::kCrashed},
-    OutcomeRow{HttpEnd::kSilent, AttemptOutcome::kSilent},
+    OutcomeRow{HttpEnd::kTimedOut, AttemptOutcome::kStalled},
     OutcomeRow{HttpEnd::kProtocol, AttemptOutcome::kWrongAnswer},
     OutcomeRow{HttpEnd::kCancelled, AttemptOutcome::kCancelled},
 };
@@ -199,8 +199,8 @@
   if (this->over) {
     return;
   }
-  if (how == HttpEnd::kWhole) {
-    this->End(this->JudgeWhole(), "");
+  if (how == HttpEnd::kComplete) {
+    this->End(this->ClassifyCompleteAnswer(), "");
     return;
   }
   const auto* row = std::ranges::find(kOutcomes, how, &OutcomeRow::end);
@@ -208,7 +208,7 @@
 }
 
 // The outcome of an attempt whose answer arrived in full.
-AttemptOutcome Attempt::JudgeWhole() {
+AttemptOutcome Attempt::ClassifyCompleteAnswer() {
   if (this->mode == Mode::kPassOn) {
     return AttemptOutcome::kComplete;
   }
--- a/packages/endpoints/endpoint_client.cc
+++ b/packages/endpoints/endpoint_client.cc
@@ -159,7 +159,7 @@
        .on_end =
            [answer, done = std::move(done)](HttpEnd end,
                                             const std::string& detail) {
-             if (end == HttpEnd::kWhole && answer->status == kStatusOk) {
+             if (end == HttpEnd::kComplete && answer->status == kStatusOk) {
                done(std::move(answer->body));
              } else {
                done(Fail(ErrorKind::kEndpointFailed,
--- a/packages/endpoints/endpoint_client.h
+++ b/packages/endpoints/endpoint_client.h
@@ -139,7 +139,7 @@
   void TakeEvent(std::string_view data);
   void TakeUsage(const CompletionUsage& usage);
   void OnTransportEnd(HttpEnd end, const std::string& detail);
-  AttemptOutcome JudgeWhole();
+  AttemptOutcome ClassifyCompleteAnswer();
   void End(AttemptOutcome outcome, const std::string& detail);
 
   AttemptCall call;
--- a/packages/endpoints/order_client.cc
+++ b/packages/endpoints/order_client.cc
@@ -67,7 +67,7 @@
   std::string body;
   std::string detail;
 
-  bool Whole() const { return this->end == HttpEnd::kWhole; }
+  bool Whole() const { return this->end == HttpEnd::kComplete; }
 };
 
 OrderClient::OrderClient(HttpTimeouts timeouts)
--- a/packages/gateway/decision_log.cc
+++ b/packages/gateway/decision_log.cc
@@ -75,7 +75,7 @@
     fields.emplace_back("error", AnswerFor(action.error->kind).code);
   }
   fields.emplace_back("why", action.reason);
-  this->Keep(std::move(decision));
+  this->Append(std::move(decision));
 }
 
 void DecisionLog::Record(int64_t wall_milliseconds,
@@ -83,15 +83,16 @@
                          const EndpointId& endpoint,
                          const AttemptResult& result,
                          const std::string& detail) {
-  this->Keep({.request = request,
-              .wall_milliseconds = wall_milliseconds,
-              .part = std::string(kPart),
-              .message = "Attempt ended.",
-              .fields = {{"attempt", std::to_string(result.attempt)},
-                         {"endpoint", endpoint.Text()},
-                         {"outcome", std::string(OutcomeName(result.outcome))},
-                         {"generated", std::to_string(result.generated_tokens)},
-                         {"detail", detail}}});
+  this->Append(
+      {.request = request,
+       .wall_milliseconds = wall_milliseconds,
+       .part = std::string(kPart),
+       .message = "Attempt ended.",
+       .fields = {{"attempt", std::to_string(result.attempt)},
+                  {"endpoint", endpoint.Text()},
+                  {"outcome", std::string(OutcomeName(result.outcome))},
+                  {"generated", std::to_string(result.generated_tokens)},
+                  {"detail", detail}}});
 }
 
 void DecisionLog::Record(int64_t wall_milliseconds,
@@ -99,7 +100,7 @@
                          const LimitRequest& ask,
                          const LimitDecision& decision) {
   const LimitVerdict& verdict = decision.verdict;
-  this->Keep(
+  this->Append(
       {.request = request,
        .wall_milliseconds = wall_milliseconds,
        .part = std::string(kLimitsPart),
@@ -117,7 +118,7 @@
            {"retry_after_ms", MillisecondsText(verdict.retry_after)}}});
 }
 
-void DecisionLog::Keep(Decision decision) {
+void DecisionLog::Append(Decision decision) {
   std::vector<LogField> fields = {{"request", decision.request.Text()}};
   std::ranges::transform(
       decision.fields, std::back_inserter(fields),
--- a/packages/gateway/decision_log.h
+++ b/packages/gateway/decision_log.h
@@ -71,7 +71,7 @@
   std::vector<Decision> ForRequest(const RequestId& request) const;
 
  private:
-  void Keep(Decision decision);
+  void Append(Decision decision);
 
   size_t capacity;
   std::deque<Decision> kept;  // oldest first
--- a/packages/gateway/endpoint_watcher.cc
+++ b/packages/gateway/endpoint_watcher.cc
@@ -71,7 +71,7 @@
 void EndpointWatcher::PollCaches() {
   this->ForEachEngine([this](const Endpoint& endpoint) {
     CachePosition& position = this->positions[endpoint.id];
-    if (std::exchange(position.asked, true)) {
+    if (std::exchange(position.in_flight, true)) {
       return;
     }
     this->client.FetchCacheEvents(
@@ -92,7 +92,7 @@
     const EndpointId& endpoint,
     const Result<std::vector<CacheEvent>>& events) {
   CachePosition& position = this->positions[endpoint];
-  position.asked = false;
+  position.in_flight = false;
   if (!events) {
     return;
   }
--- a/packages/gateway/endpoint_watcher.h
+++ b/packages/gateway/endpoint_watcher.h
@@ -52,7 +52,7 @@
   struct CachePosition {
     uint64_t incarnation = 0;
     int64_t sequence = 0;
-    bool asked = false;  // a request is in flight
+    bool in_flight = false;  // a request is in flight
   };
 
   void PollLoads();
--- a/packages/gateway/gateway.cc
+++ b/packages/gateway/gateway.cc
@@ -397,7 +397,7 @@
   incoming.content_type = "application/json";
   incoming.body = std::move(body->engine_body);
   incoming.timeouts = this->TimeoutsFor(**service);
-  this->driver->Take(std::move(incoming));
+  this->driver->Submit(std::move(incoming));
   return {};
 }
 
@@ -431,7 +431,8 @@
       .id = id,
       .account = caller->account,
       .service = (*service)->id,
-      .request_class = idempotent ? RequestClass::kLookup : RequestClass::kOnce,
+      .request_class =
+          idempotent ? RequestClass::kLookup : RequestClass::kAtMostOnce,
       .fingerprint = HashOf({caller->account.Text(), (*service)->id.Text(),
                              http.method, rest, http.query, http.body}),
       .arrived = now,
@@ -454,7 +455,7 @@
   incoming.claim_key = ClaimKey((*service)->id, caller->account,
                                 idempotency_key.value_or(std::string()),
                                 http.method + " " + incoming.target, http.body);
-  this->driver->Take(std::move(incoming));
+  this->driver->Submit(std::move(incoming));
   return {};
 }
 
--- a/packages/gateway/request_driver.cc
+++ b/packages/gateway/request_driver.cc
@@ -35,7 +35,7 @@
 }
 
 bool IsOnce(const Request& request) {
-  return request.request_class == RequestClass::kOnce;
+  return request.request_class == RequestClass::kAtMostOnce;
 }
 
 }  // namespace
@@ -79,7 +79,7 @@
   this->dispatcher->OnConfiguration(this->clock.Now(), this->configuration);
 }
 
-void RequestDriver::Take(IncomingRequest incoming) {
+void RequestDriver::Submit(IncomingRequest incoming) {
   const Request request = incoming.request;
   const RequestId id = request.id;
   incoming.call->OnGone([this, alive = this->alive, id] {
@@ -126,7 +126,7 @@
       .account = request.account,
       .cost = limit.CostOf(request.prompt_tokens, request.output_tokens),
       .priority = LimitPriority(request)};
-  live.charge = {.unit = limit.unit, .cost = ask.cost, .asked = true};
+  live.charge = {.unit = limit.unit, .cost = ask.cost, .pending = true};
   this->hooks.take_tokens(id, ask,
                           [this, alive = this->alive, id, ask,
                            unit = limit.unit](const LimitDecision& decision) {
@@ -148,7 +148,7 @@
     }
     return;
   }
-  live->charge.asked = false;
+  live->charge.pending = false;
   live->charge.held = verdict.granted;
   if (verdict.granted) {
     this->Admit(id);
@@ -168,7 +168,7 @@
 // Returns the tokens of a request that no endpoint can have run.
 void RequestDriver::SettleTokens(const LiveRequest& live) {
   const Request& request = live.incoming.request;
-  if (live.charge.asked) {
+  if (live.charge.pending) {
     this->hooks.cancel_tokens(request.id);
     return;
   }
@@ -305,13 +305,13 @@
 // while the request was queued; otherwise the account's queued requests would
 // still run. Requests that are already running are completed.
 bool RequestDriver::CheckKeyAgain(LiveRequest& live) {
-  if (live.permitted || !this->options.recheck_keys) {
+  if (live.key_checked || !this->options.recheck_keys) {
     return true;
   }
   const auto key = this->configuration->keys.find(live.incoming.key_hash);
-  live.permitted = key != this->configuration->keys.end() &&
-                   key->second.account == live.incoming.request.account;
-  if (live.permitted) {
+  live.key_checked = key != this->configuration->keys.end() &&
+                     key->second.account == live.incoming.request.account;
+  if (live.key_checked) {
     return true;
   }
   this->RefuseUnstarted(
@@ -651,13 +651,13 @@
     return;
   }
   live->incoming.relay->OnBytes(attempt, bytes);
-  this->Bind(*live);
+  this->AbandonOtherAttempts(*live);
   this->Throttle(*live, attempt);
 }
 
 // Abandons the other attempts (hedges) once part of one attempt's answer has
 // been forwarded: no other attempt can continue that answer.
-void RequestDriver::Bind(LiveRequest& live) {
+void RequestDriver::AbandonOtherAttempts(LiveRequest& live) {
   const AttemptId bound = live.incoming.relay->BoundTo();
   if (bound == 0 || live.attempts.size() < 2) {
     return;
--- a/packages/gateway/request_driver.h
+++ b/packages/gateway/request_driver.h
@@ -117,7 +117,7 @@
 
   // Starts a request: takes the tokens from its account's limit, then hands it
   // to the dispatcher.
-  void Take(IncomingRequest incoming);
+  void Submit(IncomingRequest incoming);
 
   // Events that are forwarded to the dispatcher.
   void OnLoad(const LoadReport& report);
@@ -162,8 +162,8 @@
   struct TokenCharge {
     LimitUnit unit = LimitUnit::kTokens;
     int64_t cost = 0;
-    bool asked = false;  // take_tokens is pending
-    bool held = false;   // granted
+    bool pending = false;  // take_tokens is pending
+    bool held = false;     // granted
   };
 
   struct LiveRequest {
@@ -172,7 +172,7 @@
     std::map<AttemptId, RunningAttempt> attempts;
     AttemptEnd last_end;
     Instant first_sent{};
-    bool permitted = false;  // its key was still valid when it started
+    bool key_checked = false;  // its key was still valid when it started
     bool claimed = false;
     bool may_have_run = false;
     bool abandoned_may_have_run = false;  // by an abandoned attempt
@@ -224,7 +224,7 @@
   void OnBytes(const RequestId& id, AttemptId attempt, std::string_view bytes);
   void OnEnd(const RequestId& id, AttemptId attempt, const AttemptEnd& end);
   void OnCallerDisconnected(const RequestId& id);
-  void Bind(LiveRequest& live);
+  void AbandonOtherAttempts(LiveRequest& live);
   void Throttle(LiveRequest& live, AttemptId attempt);
   void Bill(LiveRequest& live,
             const RunningAttempt& run,
--- a/packages/http/http1_parser.cc
+++ b/packages/http/http1_parser.cc
@@ -27,9 +27,9 @@
 }  // namespace
 
 // Parser of a single message.
-class Http1Parser::Engine {
+class Http1Parser::MessageParser {
  public:
-  virtual ~Engine() = default;
+  virtual ~MessageParser() = default;
   virtual size_t Put(std::string_view bytes, error_code& error) = 0;
   virtual void PutEof(error_code& error) = 0;
   virtual bool IsDone() const = 0;
@@ -37,7 +37,7 @@
 
 template <bool kRequest>
 class Http1Parser::BeastMessageParser final
-    : public Http1Parser::Engine,
+    : public Http1Parser::MessageParser,
       private http::basic_parser<kRequest> {
  public:
   BeastMessageParser(Http1Parser* owner,
--- a/packages/http/http1_parser.h
+++ b/packages/http/http1_parser.h
@@ -43,7 +43,7 @@
 };
 
 // Which direction of a connection a parser reads.
-enum class Http1Side { kRequests, kAnswers };
+enum class Http1Side { kRequests, kResponses };
 
 // Callbacks of a parser, called in this order for each message. on_body is
 // called once for each piece of the body.
@@ -95,13 +95,13 @@
   Http1Failure Failure() const { return this->failure; }
 
  private:
-  class Engine;
+  class MessageParser;
   template <bool kRequest>
   class BeastMessageParser;
 
   Http1Side side;
   Http1Events events;
-  std::unique_ptr<Engine> engine;
+  std::unique_ptr<MessageParser> engine;
   std::string unread;
   bool started = false;
   bool head_read = false;
--- a/packages/http/http_client.cc
+++ b/packages/http/http_client.cc
@@ -105,7 +105,7 @@
   this->body.reset(
       g_bytes_new(this->outgoing.body.data(), this->outgoing.body.size()));
   this->outgoing.body = {};
-  this->Progress(this->timeouts.connect);
+  this->RecordProgress(this->timeouts.connect);
   this->ArmTimer(this->timeouts.connect);
   this->SubmitMessage();
 }
@@ -166,7 +166,7 @@
   g_signal_handlers_disconnect_by_data(this->message.get(), this);
   this->message.reset(soup_message_new(this->outgoing.method.c_str(),
                                        UriOf(this->outgoing).c_str()));
-  this->Progress(this->timeouts.first_byte);
+  this->RecordProgress(this->timeouts.first_byte);
   this->SubmitMessage();
   return true;
 }
@@ -216,7 +216,7 @@
         this->new_socket.get());
     this->new_socket.reset();
   }
-  this->Progress(this->timeouts.first_byte);
+  this->RecordProgress(this->timeouts.first_byte);
   this->ArmTimer(this->timeouts.first_byte);
 }
 
@@ -235,7 +235,7 @@
     }
     return;
   }
-  this->Progress(this->timeouts.between_bytes);
+  this->RecordProgress(this->timeouts.between_bytes);
   HttpResponseHead head;
   head.status = static_cast<int>(soup_message_get_status(this->message.get()));
   head.headers =
@@ -279,11 +279,12 @@
   const auto* data =
       static_cast<const char*>(g_bytes_get_data(bytes.get(), &size));
   if (size == 0) {
-    const HttpEnd end = this->JudgeEnd();
-    this->End(end, end == HttpEnd::kWhole ? "" : "the end marker is missing");
+    const HttpEnd end = this->ClassifyEnd();
+    this->End(end,
+              end == HttpEnd::kComplete ? "" : "the end marker is missing");
     return;
   }
-  this->Progress(this->timeouts.between_bytes);
+  this->RecordProgress(this->timeouts.between_bytes);
   if (this->events.on_bytes) {
     this->events.on_bytes({data, size});
   }
@@ -297,7 +298,7 @@
 // truncated body. An endpoint that closes the connection after each chunked
 // response can't be distinguished from one that crashed; docs/ENDPOINTS.md
 // forbids it.
-HttpEnd HttpExchange::JudgeEnd() const {
+HttpEnd HttpExchange::ClassifyEnd() const {
   switch (soup_message_headers_get_encoding(
       soup_message_get_response_headers(this->message.get()))) {
     case SOUP_ENCODING_EOF:
@@ -306,9 +307,9 @@
       return this->pool->connections.ClosedByPeer(
                  soup_message_get_connection_id(this->message.get()))
                  ? HttpEnd::kReset
-                 : HttpEnd::kWhole;
+                 : HttpEnd::kComplete;
     default:
-      return HttpEnd::kWhole;
+      return HttpEnd::kComplete;
   }
 }
 
@@ -329,7 +330,7 @@
     return;
   }
   this->timer.reset();
-  if (end != HttpEnd::kWhole) {
+  if (end != HttpEnd::kComplete) {
     g_cancellable_cancel(this->cancellable.get());
     // Without a read in progress, cancelling does not close the connection.
     if (!this->reading) {
@@ -356,11 +357,11 @@
   if (!std::exchange(this->paused, false) || !this->stream) {
     return;
   }
-  this->Progress(this->timeouts.between_bytes);
+  this->RecordProgress(this->timeouts.between_bytes);
   this->ReadMore();
 }
 
-void HttpExchange::Progress(Duration limit) {
+void HttpExchange::RecordProgress(Duration limit) {
   this->limit = limit;
   this->last_progress = g_get_monotonic_time();
 }
@@ -386,7 +387,7 @@
   if (this->sending) {
     this->on_stalled();
   }
-  this->End(this->sending ? HttpEnd::kSilent : HttpEnd::kNotSent,
+  this->End(this->sending ? HttpEnd::kTimedOut : HttpEnd::kNotSent,
             "no progress in time");
 }
 
--- a/packages/http/http_client.h
+++ b/packages/http/http_client.h
@@ -65,11 +65,11 @@
 
 // How an exchange ended.
 enum class HttpEnd {
-  kWhole,        // complete: declared length reached, or last chunk received
+  kComplete,     // complete: declared length reached, or last chunk received
   kNoEndMarker,  // closed in order; the body may be truncated
   kNotSent,      // no byte was sent
   kReset,        // the connection was lost after bytes were sent
-  kSilent,       // timed out without progress after bytes were sent
+  kTimedOut,     // timed out without progress after bytes were sent
   kProtocol,     // the response is not valid HTTP, or exceeds a limit
   kCancelled,    // by this process, after bytes were sent
 };
@@ -147,13 +147,13 @@
   void CheckPermission();
   void RecordConnection(GIOStream* connection);
   void ResetOnClose();
-  HttpEnd JudgeEnd() const;
+  HttpEnd ClassifyEnd() const;
   void TakeHead(GAsyncResult* result);
   void TakeBytes(GAsyncResult* result);
   void ReadMore();
   void End(HttpEnd end, const std::string& detail);
   void EndByError(const GError& error);
-  void Progress(Duration limit);
+  void RecordProgress(Duration limit);
   void ArmTimer(Duration delay);
   void CheckProgress();
 
--- a/packages/http/http_server.cc
+++ b/packages/http/http_server.cc
@@ -126,7 +126,7 @@
 }
 
 // Pauses the message, so that libsoup sends nothing before the handler answers.
-void HttpCall::Hold() {
+void HttpCall::PauseMessage() {
   if (this->ended || this->started) {
     return;
   }
@@ -503,7 +503,7 @@
     return;
   }
   self->handler(call);
-  call->Hold();
+  call->PauseMessage();
 }
 
 void HttpServer::Refuse(const HttpCallPtr& call) {
--- a/packages/http/http_server.h
+++ b/packages/http/http_server.h
@@ -120,7 +120,7 @@
   std::optional<Error> CheckHeadLimits() const;
   void TakeChunk(GBytes* chunk);
   void RefuseBody(ErrorKind kind, std::string message);
-  void Hold();
+  void PauseMessage();
   void WatchCaller();
   void StopWatching();
   bool CallerClosed() const;
--- a/packages/limits/limit_gate.cc
+++ b/packages/limits/limit_gate.cc
@@ -82,8 +82,8 @@
 void LimitGate::RefreshPeers() {
   const Instant now = this->clock->Now();
   this->limiter.SetPeers(now, this->handlers.linked());
-  const double own = this->shares.Own(now);
-  this->limiter.SetShare(now, own, this->shares.Each());
+  const double own = this->shares.OwnShare(now);
+  this->limiter.SetShare(now, own, this->shares.HolderShare());
   if (own != std::exchange(this->logged_share, own)) {
     LogInfo(kPart, "Share of the accounts' limits changed.",
             {{"share", std::to_string(own)},
@@ -124,14 +124,14 @@
 void LimitGate::SendRevision() {
   const int64_t revision = this->shares.Revision();
   const std::vector<HostId> linked = this->handlers.linked();
-  std::erase_if(this->told, [&linked](const auto& entry) {
+  std::erase_if(this->sent_revisions, [&linked](const auto& entry) {
     return std::ranges::find(linked, entry.first) == linked.end();
   });
   if (!this->holding) {
     return;
   }
   for (const HostId& host : linked) {
-    int64_t& newest = this->told[host];
+    int64_t& newest = this->sent_revisions[host];
     if (newest < revision &&
         this->handlers.send(host, {.revision = revision})) {
       newest = revision;
@@ -140,12 +140,12 @@
 }
 
 std::optional<LimitVerdict> LimitGate::Take(LimitRequest& request,
-                                            Later on_verdict) {
+                                            VerdictCallback on_verdict) {
   request.number = ++this->last_number;
   const auto verdict = this->limiter.Take(this->clock->Now(), request);
   if (!verdict) {
-    this->waiting[request.number] = {.ask = request,
-                                     .later = std::move(on_verdict)};
+    this->waiting[request.number] = {.request = request,
+                                     .on_verdict = std::move(on_verdict)};
   } else if (verdict->granted) {
     this->RecordUsage(request.account, request.cost);
   }
@@ -159,18 +159,16 @@
   }
 }
 
-void LimitGate::GiveBack(const AccountId& account, int64_t cost) {
-  this->limiter.GiveBack(this->clock->Now(), account, cost);
+void LimitGate::Refund(const AccountId& account, int64_t cost) {
+  this->limiter.Refund(this->clock->Now(), account, cost);
   this->RecordUsage(account, -cost);
   this->Flush();
 }
 
-void LimitGate::GiveBack(const AccountId& account,
-                         LimitUnit unit,
-                         int64_t cost) {
+void LimitGate::Refund(const AccountId& account, LimitUnit unit, int64_t cost) {
   const auto limit = this->limits.find(account);
   if (limit != this->limits.end() && limit->second.unit == unit) {
-    this->GiveBack(account, cost);
+    this->Refund(account, cost);
   }
 }
 
@@ -181,7 +179,7 @@
   }
 }
 
-std::vector<LimitUsage> LimitGate::Uses() const {
+std::vector<LimitUsage> LimitGate::AccountUsage() const {
   const Instant now = this->clock->Now();
   std::vector<LimitUsage> usages;
   for (const auto& [account, limit] : this->limits) {
@@ -190,7 +188,8 @@
         {.account = account,
          .limit = limit,
          .used = used == this->used.end() ? 0 : used->second.Sum(now),
-         .left = static_cast<int64_t>(this->limiter.Held(now, account))});
+         .available =
+             static_cast<int64_t>(this->limiter.TokensHeld(now, account))});
   }
   return usages;
 }
@@ -236,9 +235,9 @@
       }
       const Waiting& waiter = found.mapped();
       if (verdict.granted) {
-        this->RecordUsage(waiter.ask.account, waiter.ask.cost);
+        this->RecordUsage(waiter.request.account, waiter.request.cost);
       }
-      waiter.later(verdict);
+      waiter.on_verdict(verdict);
     }
     effects = this->limiter.TakeEffects();
   }
@@ -255,12 +254,13 @@
     return;
   }
   const Instant now = this->clock->Now();
-  this->metrics->Set("limit_share", this->shares.Own(now));
+  this->metrics->Set("limit_share", this->shares.OwnShare(now));
   if (const auto age = this->shares.Age(now)) {
     this->metrics->Set("limit_share_age_seconds", ToSeconds(*age));
   }
   for (const auto& [account, limit] : this->limits) {
-    this->metrics->Set("limit_tokens_held", this->limiter.Held(now, account),
+    this->metrics->Set("limit_tokens_held",
+                       this->limiter.TokensHeld(now, account),
                        {{"account", account.Text()}});
   }
 }
--- a/packages/limits/limit_gate.h
+++ b/packages/limits/limit_gate.h
@@ -58,8 +58,8 @@
 struct LimitUsage {
   AccountId account;
   AccountLimit limit;
-  int64_t used = 0;  // units within LimitOptions::window
-  int64_t left = 0;  // units; negative if in debt
+  int64_t used = 0;       // units within LimitOptions::window
+  int64_t available = 0;  // units; negative if in debt
 
   auto operator<=>(const LimitUsage&) const = default;
 };
@@ -68,7 +68,7 @@
 // limits up to date. Runs on one event loop, on timers of its own.
 class LimitGate {
  public:
-  using Later = std::function<void(const LimitVerdict&)>;
+  using VerdictCallback = std::function<void(const LimitVerdict&)>;
 
   LimitGate(LimitGateOptions options,
             const Clock& clock,
@@ -92,14 +92,15 @@
   // Takes a request's tokens and sets the request's number. Returns nothing if
   // the request has to wait; `on_verdict` is then called with the decision,
   // unless the wait is cancelled.
-  std::optional<LimitVerdict> Take(LimitRequest& request, Later on_verdict);
+  std::optional<LimitVerdict> Take(LimitRequest& request,
+                                   VerdictCallback on_verdict);
   void Cancel(int64_t number);
 
   // Returns the tokens of a request that certainly did not run.
-  void GiveBack(const AccountId& account, int64_t cost);
+  void Refund(const AccountId& account, int64_t cost);
 
   // As above, but does nothing if the limit's unit has changed since.
-  void GiveBack(const AccountId& account, LimitUnit unit, int64_t cost);
+  void Refund(const AccountId& account, LimitUnit unit, int64_t cost);
 
   void OnMessage(const HostId& from, const LimitTokens& message);
 
@@ -107,13 +108,13 @@
   int64_t Revision() const { return this->shares.Revision(); }
 
   // This host's fraction of each limit, and the time since it was confirmed.
-  double Share() const { return this->shares.Own(this->clock->Now()); }
+  double Share() const { return this->shares.OwnShare(this->clock->Now()); }
   std::optional<Duration> ShareAge() const {
     return this->shares.Age(this->clock->Now());
   }
 
   // The usage of each account that has a limit.
-  std::vector<LimitUsage> Uses() const;
+  std::vector<LimitUsage> AccountUsage() const;
   Duration Window() const { return this->options.limits.window; }
 
   // Sets the gauges of this host's share and tokens.
@@ -121,8 +122,8 @@
 
  private:
   struct Waiting {
-    LimitRequest ask;
-    Later later;
+    LimitRequest request;
+    VerdictCallback on_verdict;
   };
 
   void Tick();
@@ -147,7 +148,8 @@
   int64_t last_number = 0;
   std::map<AccountId, WindowSum> used;
   std::map<int64_t, Waiting> waiting;  // by number of the request
-  std::map<HostId, int64_t> told;      // last revision sent to a linked host
+  std::map<HostId, int64_t>
+      sent_revisions;  // last revision sent to a linked host
   std::unique_ptr<Timer> timer;
   std::unique_ptr<Timer> busy_timer;
   std::shared_ptr<bool> alive = std::make_shared<bool>(true);
--- a/packages/peers/frame.cc
+++ b/packages/peers/frame.cc
@@ -52,7 +52,7 @@
 
 }  // namespace
 
-std::string Authenticate(std::string_view key, std::string_view bytes) {
+std::string HmacSha256(std::string_view key, std::string_view bytes) {
   return Tag(key, {}, bytes);
 }
 
@@ -102,7 +102,7 @@
 }
 
 Result<std::string> FrameReader::Next() {
-  const auto rest = std::string_view(this->buffer).substr(this->taken);
+  const auto rest = std::string_view(this->buffer).substr(this->consumed);
   if (rest.size() < kLengthBytes) {
     return std::string();
   }
@@ -118,15 +118,15 @@
                 "frame length leaves no room for a payload");
   }
   if (rest.size() < kLengthBytes + length) {
-    this->buffer.erase(0, this->taken);
-    this->taken = 0;
+    this->buffer.erase(0, this->consumed);
+    this->consumed = 0;
     return std::string();
   }
   std::string body(rest.substr(kLengthBytes, length));
-  this->taken += kLengthBytes + length;
-  if (this->taken == this->buffer.size()) {
+  this->consumed += kLengthBytes + length;
+  if (this->consumed == this->buffer.size()) {
     this->buffer.clear();
-    this->taken = 0;
+    this->consumed = 0;
   }
   return body;
 }
--- a/packages/peers/frame.h
+++ b/packages/peers/frame.h
@@ -45,7 +45,7 @@
 inline constexpr size_t kMaxFrameBytes = 1536UL * 1024;
 
 // Returns the untruncated HMAC-SHA256 of `bytes`.
-std::string Authenticate(std::string_view key, std::string_view bytes);
+std::string HmacSha256(std::string_view key, std::string_view bytes);
 
 // Returns a complete frame: length, tag and payload. The tag also covers
 // `context`, which is not part of the frame. The payload must fit into
@@ -85,12 +85,12 @@
   Result<std::string> Next();
 
   // Bytes that were fed but not yet returned by Next().
-  size_t BufferedBytes() const { return this->buffer.size() - this->taken; }
+  size_t BufferedBytes() const { return this->buffer.size() - this->consumed; }
 
  private:
   size_t limit;
   std::string buffer;
-  size_t taken = 0;  // bytes of `buffer` already returned by Next()
+  size_t consumed = 0;  // bytes of `buffer` already returned by Next()
 };
 
 }  // namespace hickorystand
--- a/packages/peers/message.h
+++ b/packages/peers/message.h
@@ -176,7 +176,7 @@
 
 // The state of the sender, which schedulers and all draining hosts send to
 // every linked host.
-struct SchedulerNews {
+struct SchedulerStatus {
   bool scheduler = false;  // the sender still has the scheduler role
   bool busy = false;       // overloaded
   bool ready = false;
@@ -189,7 +189,7 @@
   bool draining = false;     // its process exits within the grace period
   bool last_resort = false;  // not ready, but accepts what no other host can
 
-  auto operator<=>(const SchedulerNews&) const = default;
+  auto operator<=>(const SchedulerStatus&) const = default;
 };
 
 // A change in the contents of an engine's prefix cache.
@@ -223,7 +223,7 @@
                                  BucketsReply,
                                  UsageCopyMessage,
                                  Released,
-                                 EndpointNews,
+                                 EndpointStatus,
                                  FreshnessQuestion,
                                  FreshnessAnswer,
                                  PaceMessage,
@@ -231,7 +231,7 @@
                                  ForwardedBody,
                                  ForwardedAnswer,
                                  ForwardControl,
-                                 SchedulerNews,
+                                 SchedulerStatus,
                                  CacheUpdate,
                                  PrefillLoad,
                                  LimitTokens>;
--- a/packages/peers/peer_group.cc
+++ b/packages/peers/peer_group.cc
@@ -64,32 +64,33 @@
 }
 
 void PeerGroup::OnDigest(DigestScope scope, const Digest& digest) {
-  const Heard heard = this->membership.OnHostMessage(
+  const SenderStatus heard = this->membership.OnHostMessage(
       this->Now(), digest.host, digest.data_centre, digest.incarnation,
       digest.leaving);
-  if (heard != Heard::kCurrent) {
+  if (heard != SenderStatus::kCurrent) {
     return;
   }
   // A representative's summaries list only leaving endpoints. They are recorded
   // under an id of their own, or they would clear the endpoints that the
   // representative's own digest reports as down.
-  this->board.OnNews(scope == DigestScope::kHost
-                         ? digest.host
-                         : HostId(kOtherDataCentresPrefix + digest.host.Text()),
-                     digest.endpoints);
+  this->board.OnReport(
+      scope == DigestScope::kHost
+          ? digest.host
+          : HostId(kOtherDataCentresPrefix + digest.host.Text()),
+      digest.endpoints);
   if (scope != DigestScope::kOtherDataCentres && this->handlers.on_revision) {
     this->handlers.on_revision(digest.host, digest.configuration_revision);
   }
   switch (scope) {
     case DigestScope::kHost:
-      this->near.OnDigest(digest);
+      this->local_summary.OnDigest(digest);
       this->digests[digest.host] = digest;
       if (this->handlers.on_digest) {
         this->handlers.on_digest(digest);
       }
       break;
     case DigestScope::kDataCentre:
-      this->far.OnDigest(digest);
+      this->remote_summary.OnDigest(digest);
       break;
     case DigestScope::kOtherDataCentres:
       this->OnOtherDataCentres(digest, digest.host);
@@ -105,11 +106,11 @@
 // all remote work twice, so only the last one received is used.
 void PeerGroup::OnOtherDataCentres(Digest digest, const HostId& from) {
   const HostId id(kOtherDataCentresPrefix + from.Text());
-  if (id != this->elsewhere && !this->elsewhere.Empty() &&
-      this->handlers.on_gone) {
-    this->handlers.on_gone(this->elsewhere);
+  if (id != this->other_data_centres_id &&
+      !this->other_data_centres_id.Empty() && this->handlers.on_gone) {
+    this->handlers.on_gone(this->other_data_centres_id);
   }
-  this->elsewhere = id;
+  this->other_data_centres_id = id;
   // The id belongs to no host: it has neither a data centre nor a configuration
   // revision, and no request may be sent to it.
   digest.host = id;
@@ -122,21 +123,23 @@
 
 void PeerGroup::OnDown(const HostId& host) {
   this->membership.OnLinkDown(this->Now(), host);
-  this->near.OnGone(host);
-  this->far.OnGone(host);
+  this->local_summary.OnGone(host);
+  this->remote_summary.OnGone(host);
   this->board.OnHostLost(host);
   this->digests.erase(host);
   if (this->handlers.on_gone) {
     this->handlers.on_gone(host);
-    if (this->elsewhere.Text() == kOtherDataCentresPrefix + host.Text()) {
-      this->handlers.on_gone(std::exchange(this->elsewhere, HostId()));
+    if (this->other_data_centres_id.Text() ==
+        kOtherDataCentresPrefix + host.Text()) {
+      this->handlers.on_gone(
+          std::exchange(this->other_data_centres_id, HostId()));
     }
   }
 }
 
 void PeerGroup::OnMessage(const HostId& host, const PeerMessage& message) {
-  if (const auto* news = std::get_if<EndpointNews>(&message)) {
-    this->board.OnNews(host, *news);
+  if (const auto* news = std::get_if<EndpointStatus>(&message)) {
+    this->board.OnReport(host, *news);
     if (this->board.Leaving() != this->leaving) {
       this->SendSummaries(true);
     }
@@ -146,8 +149,8 @@
   }
 }
 
-void PeerGroup::Announce(const EndpointNews& news) {
-  this->board.OnNews(this->options.links.session.host, news);
+void PeerGroup::Announce(const EndpointStatus& news) {
+  this->board.OnReport(this->options.links.session.host, news);
   this->links.Broadcast(news);
 }
 
@@ -156,11 +159,11 @@
   digest.host = session.host;
   digest.data_centre = session.data_centre;
   digest.incarnation = session.incarnation;
-  this->board.OnNews(session.host, digest.endpoints);
+  this->board.OnReport(session.host, digest.endpoints);
   this->links.SendDigest(DigestScope::kHost, digest);
   // The summary of this data centre includes this host like any other.
   digest.sequence = ++this->summary_sequence;
-  this->near.OnDigest(digest);
+  this->local_summary.OnDigest(digest);
   if (this->Now() >= this->next_summary) {
     this->SendSummaries(false);
   }
@@ -193,8 +196,8 @@
   }
   // Leaving is a property of an endpoint's incarnation, so sending it back to
   // the host that first reported it is harmless.
-  Digest own =
-      this->near.Make(session.host, session.data_centre, session.incarnation);
+  Digest own = this->local_summary.Make(session.host, session.data_centre,
+                                        session.incarnation);
   this->FilterOutstanding(own, false);
   own.endpoints = this->leaving;
   this->links.SendDigest(DigestScope::kDataCentre, own);
@@ -202,8 +205,8 @@
   if (rank != 0 || !pass_on) {
     return;
   }
-  Digest distant =
-      this->far.Make(session.host, session.data_centre, session.incarnation);
+  Digest distant = this->remote_summary.Make(session.host, session.data_centre,
+                                             session.incarnation);
   this->FilterOutstanding(distant, true);
   distant.endpoints = this->leaving;
   this->links.SendDigest(DigestScope::kOtherDataCentres, distant);
--- a/packages/peers/peer_group.h
+++ b/packages/peers/peer_group.h
@@ -84,7 +84,7 @@
   // Sends to all linked hosts at once, ahead of the next digest, that an
   // endpoint is leaving or down. Other data centres receive it through the
   // representatives.
-  void Announce(const EndpointNews& news);
+  void Announce(const EndpointStatus& news);
 
   // Records that this host received a response from an endpoint.
   void OnAlive(const EndpointId& endpoint, uint64_t incarnation) {
@@ -92,8 +92,8 @@
   }
 
   // Whether an endpoint must get no new work: it is leaving or down.
-  bool Out(const EndpointId& endpoint) const {
-    return this->board.Out(endpoint);
+  bool IsUnavailable(const EndpointId& endpoint) const {
+    return this->board.IsUnavailable(endpoint);
   }
 
   // Applies a new configuration: the endpoints with their data centres. The
@@ -151,14 +151,15 @@
   Membership membership;
   EndpointStatusTable board;
   std::map<EndpointId, DataCentreId> endpoints;
-  DigestSummary near;  // the hosts of this data centre
-  DigestSummary far;   // the other data centres
+  DigestSummary local_summary;   // the hosts of this data centre
+  DigestSummary remote_summary;  // the other data centres
   std::map<HostId, Digest> digests;
-  HostId elsewhere;  // id of the current digest of all other data centres
+  HostId other_data_centres_id;  // id of the current digest of all other data
+                                 // centres
   uint64_t summary_sequence = 0;
   Instant next_summary{};
-  uint64_t summaries = 0;             // number sent
-  std::vector<EndpointNews> leaving;  // leaving endpoints as last sent
+  uint64_t summaries = 0;               // number sent
+  std::vector<EndpointStatus> leaving;  // leaving endpoints as last sent
   PeerLinks links;
 };
 
--- a/packages/peers/peer_links.cc
+++ b/packages/peers/peer_links.cc
@@ -55,7 +55,7 @@
 PeerLinks::PeerLinks(PeerLinksOptions options, PeerHandlers handlers)
     : options(std::move(options)),
       handlers(std::move(handlers)),
-      refusals(5, std::chrono::seconds(1)) {
+      close_log_limiter(5, std::chrono::seconds(1)) {
   assert(this->options.clock != nullptr && "set PeerLinksOptions::clock");
   assert(!this->options.session.host.Empty() && "set the host's id");
   assert(this->options.session.incarnation > 0 && "set the incarnation");
@@ -249,7 +249,8 @@
 // Makes an authenticated session the link's session. The newest one replaces
 // the others: the peer connected again because it no longer receives on the old
 // one.
-void PeerLinks::Adopt(Link& link, std::unique_ptr<PeerSession> session) {
+void PeerLinks::ReplaceSession(Link& link,
+                               std::unique_ptr<PeerSession> session) {
   if (link.session != nullptr) {
     auto old = std::move(link.session);
     old->Close(
@@ -279,7 +280,7 @@
     Link& link = this->links[id];
     link.host.host = id;
     link.host.data_centre = session.Peer().data_centre;
-    this->Adopt(link, std::move(accepted));
+    this->ReplaceSession(link, std::move(accepted));
   }
   Link* link = this->FindLink(session);
   assert(link != nullptr);
@@ -362,12 +363,14 @@
 
 void PeerLinks::OnClosed(PeerSession& session, const Error& reason) {
   ++this->stats.closed[reason.kind];
-  if (reason.kind != ErrorKind::kTimeout && this->refusals.Allow(this->Now())) {
-    LogWarning(kPart, "Session closed.",
-               {{"host", session.Peer().host.Text()},
-                {"reason", reason.message},
-                {"kind", std::string(AnswerFor(reason.kind).code)},
-                {"not_logged", std::to_string(this->refusals.Suppressed())}});
+  if (reason.kind != ErrorKind::kTimeout &&
+      this->close_log_limiter.Allow(this->Now())) {
+    LogWarning(
+        kPart, "Session closed.",
+        {{"host", session.Peer().host.Text()},
+         {"reason", reason.message},
+         {"kind", std::string(AnswerFor(reason.kind).code)},
+         {"not_logged", std::to_string(this->close_log_limiter.Suppressed())}});
   }
   this->DestroyLater(this->TakePending(session));
   Link* link = this->FindLink(session);
--- a/packages/peers/peer_links.h
+++ b/packages/peers/peer_links.h
@@ -169,7 +169,7 @@
   void Accept();
   void Tick();
   void Dial(Link& link);
-  void Adopt(Link& link, std::unique_ptr<PeerSession> session);
+  void ReplaceSession(Link& link, std::unique_ptr<PeerSession> session);
   std::unique_ptr<PeerSession> TakePending(const PeerSession& session);
   void RemoveLink(const HostId& id);
   Link* FindLink(const PeerSession& session);
@@ -187,7 +187,7 @@
 
   PeerLinksOptions options;
   PeerHandlers handlers;
-  LogLimiter refusals;
+  LogLimiter close_log_limiter;
   GSocket* listener = nullptr;
   GSource* acceptable = nullptr;
   std::map<HostId, Link> links;
--- a/packages/peers/session.cc
+++ b/packages/peers/session.cc
@@ -237,7 +237,7 @@
   std::string key_input(kSessionKeyPrefix);
   key_input += this->dialled ? this->own_hello : std::string(payload);
   key_input += this->dialled ? std::string(payload) : this->own_hello;
-  this->key = Authenticate(this->key, key_input);
+  this->key = HmacSha256(this->key, key_input);
   this->reader.SetLimit(kMaxFrameBytes);
   if (!this->dialled) {
     this->state = State::kAwaitingProof;
--- a/packages/peers/wire.cc
+++ b/packages/peers/wire.cc
@@ -113,7 +113,7 @@
   return definition == columns.definitions.end();
 }
 
-wire::EndpointNews ToWire(const EndpointNews& news) {
+wire::EndpointNews ToWire(const EndpointStatus& news) {
   wire::EndpointNews out;
   out.endpoint = news.endpoint.Text();
   out.incarnation = static_cast<int64_t>(news.incarnation);
@@ -225,7 +225,8 @@
     PaceField{&PaceFigures::token_prefill, &wire::ServicePace::token_prefill},
     PaceField{&PaceFigures::token_decode, &wire::ServicePace::token_decode},
     PaceField{&PaceFigures::first_token, &wire::ServicePace::first_token},
-    PaceField{&PaceFigures::after_reading, &wire::ServicePace::after_reading},
+    PaceField{&PaceFigures::first_token_after_handover,
+              &wire::ServicePace::after_reading},
     PaceField{&PaceFigures::copy_setup, &wire::ServicePace::copy_setup}};
 
 wire::ServicePace ToWire(const ServiceId& service, const PaceFigures& figures) {
@@ -431,7 +432,7 @@
     item.incarnation = static_cast<int64_t>(released.incarnation);
     out.__set_released(item);
   }
-  void operator()(const EndpointNews& news) {
+  void operator()(const EndpointStatus& news) {
     out.__set_endpoint_news(ToWire(news));
   }
   void operator()(const FreshnessQuestion& question) {
@@ -513,7 +514,7 @@
     item.action = static_cast<int>(control.action);
     out.__set_forward_control(item);
   }
-  void operator()(const SchedulerNews& news) {
+  void operator()(const SchedulerStatus& news) {
     wire::SchedulerNews item;
     item.scheduler = news.scheduler;
     item.busy = news.busy;
@@ -639,10 +640,10 @@
   if (set.endpoint_news && IsValidId(in->endpoint_news.endpoint)) {
     const auto& news = in->endpoint_news;
     return WireMessage(PeerMessage(
-        EndpointNews{.endpoint = EndpointId(news.endpoint),
-                     .incarnation = static_cast<uint64_t>(news.incarnation),
-                     .leaving = news.leaving,
-                     .down = news.down}));
+        EndpointStatus{.endpoint = EndpointId(news.endpoint),
+                       .incarnation = static_cast<uint64_t>(news.incarnation),
+                       .leaving = news.leaving,
+                       .down = news.down}));
   }
   if (set.freshness_question) {
     return WireMessage(PeerMessage(
@@ -681,17 +682,17 @@
   if (set.scheduler_news) {
     const auto& news = in->scheduler_news;
     return WireMessage(PeerMessage(
-        SchedulerNews{.scheduler = news.scheduler,
-                      .busy = news.busy,
-                      .ready = news.ready,
-                      .keys_proven = news.keys_proven,
-                      .configuration_version = news.configuration_version,
-                      .head_bytes = news.head_bytes,
-                      .body_bytes = news.body_bytes,
-                      .head_timeout = Duration(news.head_timeout),
-                      .idle_timeout = Duration(news.idle_timeout),
-                      .draining = news.draining,
-                      .last_resort = news.last_resort}));
+        SchedulerStatus{.scheduler = news.scheduler,
+                        .busy = news.busy,
+                        .ready = news.ready,
+                        .keys_proven = news.keys_proven,
+                        .configuration_version = news.configuration_version,
+                        .head_bytes = news.head_bytes,
+                        .body_bytes = news.body_bytes,
+                        .head_timeout = Duration(news.head_timeout),
+                        .idle_timeout = Duration(news.idle_timeout),
+                        .draining = news.draining,
+                        .last_resort = news.last_resort}));
   }
   if (set.cache_update && IsValidId(in->cache_update.endpoint) &&
       in->cache_update.parts.size() == in->cache_update.tokens.size()) {
--- a/packages/platform/etcd_store.cc
+++ b/packages/platform/etcd_store.cc
@@ -78,9 +78,9 @@
 
   // Whether the service is unavailable and the backoff delay has not passed
   // yet.
-  bool Waiting() const {
+  bool InBackoff() const {
     return this->backoff.Failures() >= kFailFastThreshold &&
-           this->clock.Now() < this->next_try;
+           this->clock.Now() < this->next_attempt;
   }
 
   void Send(const EtcdRequest& request, std::function<void(JsonReply)> done) {
@@ -146,7 +146,7 @@
   }
 
   void RecordFailure(const JsonReply& reply) {
-    this->next_try = this->clock.Now() + this->backoff.Next();
+    this->next_attempt = this->clock.Now() + this->backoff.Next();
     this->Count("store_failures_total");
     if (this->limiter.Allow(this->clock.Now())) {
       LogWarning(kPart, "The key-value service does not answer.",
@@ -159,7 +159,7 @@
   BootClock clock;
   JsonClient client;
   Backoff backoff;
-  Instant next_try{};
+  Instant next_attempt{};
   size_t preferred = 0;
   int64_t watches = 0;
   LogLimiter limiter{3, std::chrono::seconds(10)};
@@ -201,23 +201,24 @@
         {.on_head =
              [this](const HttpResponseHead& head) {
                if (head.status != SOUP_STATUS_OK) {
-                 this->Lose({ErrorKind::kPlatformDown,
-                             "the watch was refused with status " +
-                                 std::to_string(head.status),
-                             {}});
+                 this->ReportLost({ErrorKind::kPlatformDown,
+                                   "the watch was refused with status " +
+                                       std::to_string(head.status),
+                                   {}});
                }
              },
-         .on_bytes = [this](std::string_view bytes) { this->Take(bytes); },
+         .on_bytes = [this](std::string_view bytes) { this->OnBytes(bytes); },
          .on_end =
              [this](HttpEnd, const std::string& detail) {
                this->calls->SelectNextAddress();
-               this->Lose({ErrorKind::kPlatformDown,
-                           detail.empty() ? "the stream ended" : detail,
-                           {}});
+               this->ReportLost({ErrorKind::kPlatformDown,
+                                 detail.empty() ? "the stream ended" : detail,
+                                 {}});
              }});
     this->check = Timer::After(this->calls->Timeout(), [this] {
       if (!this->created) {
-        this->Lose({ErrorKind::kTimeout, "the watch was not confirmed", {}});
+        this->ReportLost(
+            {ErrorKind::kTimeout, "the watch was not confirmed", {}});
       } else {
         this->check =
             Timer::Every(kProbePeriod, [this] { this->ProbeIfQuiet(); });
@@ -243,7 +244,7 @@
   }
 
   // Appends received bytes and processes the complete lines.
-  void Take(std::string_view bytes) {
+  void OnBytes(std::string_view bytes) {
     this->partial += bytes;
     size_t start = 0;
     for (size_t end = this->partial.find('\n'); end != std::string::npos;
@@ -251,25 +252,26 @@
       const std::string line = this->partial.substr(start, end - start);
       start = end + 1;
       if (!line.empty() && !this->lost) {
-        this->TakeLine(line);
+        this->OnLine(line);
       }
     }
     this->partial.erase(0, start);
     if (this->partial.size() > kMaxWatchLine) {
-      this->Lose({ErrorKind::kTooLarge, "a line of the watch is too long", {}});
+      this->ReportLost(
+          {ErrorKind::kTooLarge, "a line of the watch is too long", {}});
     }
   }
 
-  void TakeLine(const std::string& line) {
+  void OnLine(const std::string& line) {
     auto message = ReadWatchMessage(line);
     if (!message) {
-      this->Lose(message.error());
+      this->ReportLost(message.error());
       return;
     }
     if (message->cancelled) {
-      this->Lose({ErrorKind::kPlatformDown,
-                  "the watch was cancelled: " + message->reason,
-                  {}});
+      this->ReportLost({ErrorKind::kPlatformDown,
+                        "the watch was cancelled: " + message->reason,
+                        {}});
       return;
     }
     this->created = true;
@@ -303,7 +305,7 @@
                              : std::nullopt;
     if (!changed) {
       if (++this->failures >= kMaxProbeFailures) {
-        this->Lose(
+        this->ReportLost(
             {ErrorKind::kPlatformDown, "the probes of the watch failed", {}});
       }
       return;
@@ -317,16 +319,16 @@
     this->grace = Timer::After(
         kEventGracePeriod, [this, expected_revision = newest->mod_revision] {
           if (this->seen < expected_revision) {
-            this->Lose({ErrorKind::kTimeout,
-                        "the watch missed a change that a probe found",
-                        {}});
+            this->ReportLost({ErrorKind::kTimeout,
+                              "the watch missed a change that a probe found",
+                              {}});
           }
         });
   }
 
   // Ends the watch and reports the error once. The callback may destroy the
   // watch, so it is called last and from a separate timer.
-  void Lose(const Error& error) {
+  void ReportLost(const Error& error) {
     if (!std::exchange(this->lost, true)) {
       LogWarning(kPart, "A watch was lost.",
                  {{"prefix", this->prefix}, {"error", error.message}});
@@ -395,7 +397,7 @@
 
   void Transact(const StoreTransaction& transaction,
                 std::function<void(StoreReply)> done) override {
-    if (this->calls->Waiting()) {
+    if (this->calls->InBackoff()) {
       this->RefuseLater(std::move(done));
       return;
     }
--- a/packages/platform/json_client.cc
+++ b/packages/platform/json_client.cc
@@ -48,7 +48,7 @@
   const HttpTimeouts phase_timeouts{.connect = request.timeout * 2,
                                     .first_byte = request.timeout * 2,
                                     .between_bytes = request.timeout * 2};
-  const auto on_timeout = [this, id] { this->GiveUp(id); };
+  const auto on_timeout = [this, id] { this->OnTimeout(id); };
   call.deadline = Timer::After(request.timeout, on_timeout);
   if (call.on_progress) {
     call.overall_deadline =
@@ -92,7 +92,7 @@
   Pending& call = *this->pending.at(id);
   if (call.on_progress) {
     call.deadline =
-        Timer::After(call.timeout, [this, id] { this->GiveUp(id); });
+        Timer::After(call.timeout, [this, id] { this->OnTimeout(id); });
     call.on_progress();
   }
 }
@@ -100,33 +100,33 @@
 void JsonClient::OnExchangeEnd(uint64_t id,
                                HttpEnd end,
                                const std::string& detail) {
-  if (end == HttpEnd::kWhole) {
+  if (end == HttpEnd::kComplete) {
     JsonReply reply = std::move(this->pending.at(id)->reply);
     reply.outcome = JsonOutcome::kAnswered;
-    this->End(id, std::move(reply));
+    this->Complete(id, std::move(reply));
     return;
   }
-  this->End(id,
-            {.outcome = end == HttpEnd::kNotSent ? JsonOutcome::kNotSent
-                                                 : JsonOutcome::kUnknown,
-             .error = detail.empty() ? "the answer is incomplete" : detail});
+  this->Complete(
+      id, {.outcome = end == HttpEnd::kNotSent ? JsonOutcome::kNotSent
+                                               : JsonOutcome::kUnknown,
+           .error = detail.empty() ? "the answer is incomplete" : detail});
 }
 
 // Ends a call that timed out. Existing connections can be dead while new ones
 // work, and then the idle connections to the same address are probably dead
 // too, so none of them is reused.
-void JsonClient::GiveUp(uint64_t id) {
+void JsonClient::OnTimeout(uint64_t id) {
   const Pending& call = *this->pending.at(id);
   const bool sent = call.exchange->MayHaveSent();
   call.exchange->Cancel();
   this->client.Renew(call.address);
-  this->End(id,
-            {.outcome = sent ? JsonOutcome::kUnknown : JsonOutcome::kNotSent,
-             .error = "no answer in time"});
+  this->Complete(
+      id, {.outcome = sent ? JsonOutcome::kUnknown : JsonOutcome::kNotSent,
+           .error = "no answer in time"});
 }
 
 // Removes a call and calls its callback, which may destroy this client.
-void JsonClient::End(uint64_t id, JsonReply reply) {
+void JsonClient::Complete(uint64_t id, JsonReply reply) {
   const auto call = this->pending.extract(id);
   call.mapped()->done(std::move(reply));
 }
--- a/packages/platform/json_client.h
+++ b/packages/platform/json_client.h
@@ -80,9 +80,9 @@
   struct Pending;
 
   void OnProgress(uint64_t id);
-  void End(uint64_t id, JsonReply reply);
+  void Complete(uint64_t id, JsonReply reply);
   void OnExchangeEnd(uint64_t id, HttpEnd end, const std::string& detail);
-  void GiveUp(uint64_t id);
+  void OnTimeout(uint64_t id);
 
   HttpClient client;
   uint64_t last_id = 0;
--- a/packages/relay/cache_feed.cc
+++ b/packages/relay/cache_feed.cc
@@ -52,13 +52,13 @@
   Subscription& subscription = this->subscriptions.at(engine);
   subscription.body.clear();
   subscription.status = 0;
-  subscription.timer = Timer::After(this->options.limit, [this, engine] {
+  subscription.timer = Timer::After(this->options.call_timeout, [this, engine] {
     this->subscriptions.at(engine).call->Cancel();
     this->PollAfter(engine, this->options.pause_after_failure);
   });
   subscription.call = this->pool->Send(
       {.address = subscription.address,
-       .head = subscription.listed
+       .head = subscription.list_requested
                    ? this->codec->CacheChangesCall(subscription.address,
                                                    subscription.next,
                                                    this->options.wait)
@@ -84,8 +84,8 @@
 
 void CacheFeed::OnEnd(const EndpointId& engine, HttpEnd end) {
   Subscription& subscription = this->subscriptions.at(engine);
-  const bool complete = end == HttpEnd::kWhole && subscription.status == 200;
-  const bool is_full_list = !std::exchange(subscription.listed, true);
+  const bool complete = end == HttpEnd::kComplete && subscription.status == 200;
+  const bool is_full_list = !std::exchange(subscription.list_requested, true);
   const auto events =
       complete
           ? is_full_list ? this->codec->ReadCacheList(subscription.body)
@@ -98,11 +98,12 @@
     this->PollAfter(engine, this->options.pause_after_failure);
     return;
   }
-  this->TakeNews(engine, *events);
+  this->ApplyEvents(engine, *events);
   this->PollAfter(engine, this->options.pause);
 }
 
-void CacheFeed::TakeNews(const EndpointId& engine, const CacheChanges& events) {
+void CacheFeed::ApplyEvents(const EndpointId& engine,
+                            const CacheChanges& events) {
   Subscription& subscription = this->subscriptions.at(engine);
   // The engine restarted, or events were lost: entries recorded for it may have
   // been evicted. Those that remain are recorded again when they are next used.
@@ -126,7 +127,7 @@
 
 void CacheFeed::ApplyUpdate(const CacheUpdate& update) {
   const EndpointId& engine = update.engine.id;
-  if (!this->placement->Knows(update.engine)) {
+  if (!this->placement->IsListed(update.engine)) {
     return;
   }
   if (update.reset) {
--- a/packages/relay/cache_feed.h
+++ b/packages/relay/cache_feed.h
@@ -27,7 +27,7 @@
   // How long an engine may hold a call until there is an event.
   Duration wait = std::chrono::seconds(1);
   // Timeout of a call.
-  Duration limit = std::chrono::milliseconds(2500);
+  Duration call_timeout = std::chrono::milliseconds(2500);
   // Delay between an answer and the next call. A busy engine always has events
   // and answers at once, and such a call costs as much as a health check.
   Duration pause = std::chrono::milliseconds(700);
@@ -83,14 +83,14 @@
     int status = 0;
     std::string epoch;
     int64_t next = 0;
-    bool listed = false;  // the whole cache was requested
+    bool list_requested = false;  // the whole cache was requested
   };
 
   bool Subscribes(const FleetEndpoint& endpoint) const;
   void Poll(const EndpointId& engine);
   void PollAfter(const EndpointId& engine, Duration delay);
   void OnEnd(const EndpointId& engine, HttpEnd end);
-  void TakeNews(const EndpointId& engine, const CacheChanges& events);
+  void ApplyEvents(const EndpointId& engine, const CacheChanges& events);
 
   CacheFeedOptions options;
   EndpointPool* pool;
--- a/packages/relay/endpoint_pool.cc
+++ b/packages/relay/endpoint_pool.cc
@@ -34,7 +34,7 @@
       : pool(pool),
         address(std::move(address)),
         parser(
-            Http1Side::kAnswers,
+            Http1Side::kResponses,
             {.on_head = [this](const Http1Head& head) { this->OnHead(head); },
              .on_body = [this](std::string_view bytes) { this->OnBody(bytes); },
              .on_end = [] {}}) {}
@@ -44,7 +44,7 @@
     this->timer = Timer::After(options.connect_timeout,
                                [this] { this->Fail(HttpEnd::kNotSent); });
     this->socket = StreamSocket::Connect(
-        this->address, options.silence,
+        this->address, options.ack_timeout,
         {.on_open = [this] { this->timer.reset(); },
          .on_bytes = [this](std::string_view bytes) { this->OnBytes(bytes); },
          .on_end = [this](StreamEnd end) { this->OnEnd(end); }});
@@ -159,7 +159,7 @@
     } else {
       this->Drop();
     }
-    ended->events.on_end(HttpEnd::kWhole);
+    ended->events.on_end(HttpEnd::kComplete);
   }
 
   void StayIdle() {
@@ -264,7 +264,7 @@
   auto exchange = std::make_shared<EndpointExchange>();
   exchange->events = std::move(events);
   EndpointConnections& lane = this->connections_by_address[send.address];
-  auto connection = this->TakeIdle(lane, send.once);
+  auto connection = this->TakeIdle(lane, send.at_most_once);
   if (!connection) {
     connection = std::make_shared<EndpointConnection>(this, send.address);
     connection->Open();
@@ -301,7 +301,7 @@
          !found->second.idle.empty();
 }
 
-void EndpointPool::Forget(const SocketAddress& address) {
+void EndpointPool::CloseIdle(const SocketAddress& address) {
   const auto found = this->connections_by_address.find(address);
   if (found == this->connections_by_address.end()) {
     return;
--- a/packages/relay/endpoint_pool.h
+++ b/packages/relay/endpoint_pool.h
@@ -41,7 +41,7 @@
   // unknown. Such a request therefore goes only on connections that were used
   // recently (EndpointPoolOptions::once_idle_share), and otherwise on a new
   // one.
-  bool once = false;
+  bool at_most_once = false;
 };
 
 // Callbacks of one exchange.
@@ -88,7 +88,7 @@
   Duration connect_timeout = std::chrono::milliseconds(600);
   // TCP user timeout: how long sent bytes may stay unacknowledged. It is the
   // only sign of a connection whose state a middlebox has dropped.
-  Duration silence = std::chrono::milliseconds(900);
+  Duration ack_timeout = std::chrono::milliseconds(900);
   // Idle timeout of a connection if the endpoint sends no Keep-Alive timeout.
   Duration default_idle_timeout = std::chrono::seconds(4);
   // Idle connections are closed this much before the endpoint would close them.
@@ -114,7 +114,7 @@
   bool HasIdle(const SocketAddress& address) const;
 
   // Closes the idle connections to an address whose process has ended.
-  void Forget(const SocketAddress& address);
+  void CloseIdle(const SocketAddress& address);
 
   size_t Connections() const;
   int64_t Opened() const { return this->opened; }
--- a/packages/relay/fleet_configuration.h
+++ b/packages/relay/fleet_configuration.h
@@ -75,7 +75,8 @@
 struct EngineSpec {
   int64_t slots = 0;
   int64_t cache_tokens = 0;
-  double copied_tokens = 0;  // per second, between engines of a zone
+  double transfer_tokens_per_second =
+      0;  // per second, between engines of a zone
   int64_t max_event_polls =
       0;                       // cache event polls that an engine holds at once
   Duration handle_lifetime{};  // how long a prefilled prompt is kept
--- a/packages/relay/fleet_duties.cc
+++ b/packages/relay/fleet_duties.cc
@@ -301,7 +301,7 @@
     const int64_t passed = now - this->usage.EndOf(window);
     const bool complete =
         std::ranges::all_of(hosts, [this, window](const HostId& host) {
-          return this->usage.Knows(host, window);
+          return this->usage.HasCompleteCounts(host, window);
         });
     const bool urgent = passed >= ToMilliseconds(this->options.report_due -
                                                  this->ReportReserve());
--- a/packages/relay/fleet_duties.h
+++ b/packages/relay/fleet_duties.h
@@ -89,7 +89,7 @@
   // Requests of the whole fleet that are running at an engine.
   std::function<int64_t(const EndpointId&)> running;
   // Prefill load of the whole fleet for a service, in fully busy engines.
-  std::function<double(const ServiceId&)> reading;
+  std::function<double(const ServiceId&)> prefill_engines;
 };
 
 // Competes for the lease and performs the duties while it is held. Runs on a
@@ -161,7 +161,7 @@
   struct EngineNeed {
     int64_t wanted = 0;
     int64_t needed = 0;
-    double reading = 0;
+    double prefill_engines = 0;
   };
 
   void Tick();
--- a/packages/relay/fleet_duties_engines.cc
+++ b/packages/relay/fleet_duties_engines.cc
@@ -197,7 +197,7 @@
                                                    int64_t live) {
   double& peak = this->prefill_peak[service];
   double& recent = this->prefill_recent[service];
-  const double reading = this->inputs.reading(service);
+  const double reading = this->inputs.prefill_engines(service);
   peak = std::max(reading, peak * kPrefillPeakDecay);
   recent = std::max(reading, recent * kRecentPrefillDecay);
   const ScalePlanOptions scaling;
@@ -217,7 +217,7 @@
           .needed =
               std::max(EnginesWanted(recent, 1, bounds, scaling), min_engines) +
               this->ChangingRoleOf(service),
-          .reading = reading};
+          .prefill_engines = reading};
 }
 
 void FleetDuties::PlanEngines(Instant now) {
@@ -341,7 +341,7 @@
            {"count", std::to_string(count)},
            {"wanted", std::to_string(need.wanted)},
            {"needed", std::to_string(need.needed)},
-           {"reading", std::to_string(need.reading)},
+           {"reading", std::to_string(need.prefill_engines)},
            {"fencing", std::to_string(this->lease.Fencing())}});
   this->platform->OrderEndpoints(
       {.service = key.service,
--- a/packages/relay/fleet_peers.cc
+++ b/packages/relay/fleet_peers.cc
@@ -130,7 +130,7 @@
 
 void FleetPeers::OnMessage(const HostId& host, const PeerMessage& message) {
   this->handlers.on_message(host, message);
-  const auto* news = std::get_if<SchedulerNews>(&message);
+  const auto* news = std::get_if<SchedulerStatus>(&message);
   if (news == nullptr) {
     return;
   }
@@ -312,7 +312,7 @@
                    [this] { this->List(); });
   this->store->Transact({.then = {{.kind = StoreOperation::Kind::kGetPrefix,
                                    .key = std::string(kHostPrefix)}},
-                         .stale = true},
+                         .allow_stale = true},
                         [this](const StoreReply& reply) {
                           if (reply.outcome == StoreOutcome::kThen) {
                             this->ApplyList(reply);
--- a/packages/relay/fleet_relay.cc
+++ b/packages/relay/fleet_relay.cc
@@ -58,7 +58,7 @@
       cache_feed({}, this->pool, codec, this->placement),
       budget(this->settings.budget),
       suspects({.block_after_crashes = kBlockAfterCrashes,
-                .memory = std::chrono::minutes(2)}),
+                .retention = std::chrono::minutes(2)}),
       log_limiter(kLogBurst, kLogInterval) {
   for (const ErrorKind kind : kOwnErrors) {
     this->metrics->Add("own_answers_total", 0,
@@ -103,7 +103,7 @@
   for (const auto& [id, endpoint] : this->endpoints) {
     const auto found = listed.find(id);
     if (found == listed.end() || found->second.run != endpoint.run) {
-      this->pool.Forget(endpoint.address);
+      this->pool.CloseIdle(endpoint.address);
       LogInfo(kPart, "Endpoint gone.", {{"endpoint", id.Text()}});
     } else if (found->second.leaving && !endpoint.leaving) {
       LogInfo(kPart, "Endpoint is leaving.", {{"endpoint", id.Text()}});
@@ -151,7 +151,8 @@
       share.cache_tokens = service.engine->cache_tokens;
     }
     if (service.engine) {
-      share.copied_tokens = service.engine->copied_tokens;
+      share.transfer_tokens_per_second =
+          service.engine->transfer_tokens_per_second;
     }
     share.pause_target = this->configuration->ShortestGapTarget(id);
     this->placement.SetServiceParameters(id, share);
@@ -159,7 +160,7 @@
 }
 
 void FleetRelay::ConfirmConfiguration(Instant at) {
-  this->proven = std::max(this->proven, at);
+  this->confirmed_at = std::max(this->confirmed_at, at);
 }
 
 void FleetRelay::RequireRefresh() {
@@ -169,7 +170,8 @@
 
 bool FleetRelay::Refreshed() const {
   return this->configuration != nullptr &&
-         this->proven >= this->refresh_required_at && this->endpoints_refreshed;
+         this->confirmed_at >= this->refresh_required_at &&
+         this->endpoints_refreshed;
 }
 
 bool FleetRelay::Ready() const {
@@ -177,9 +179,9 @@
 }
 
 std::optional<Duration> FleetRelay::ProofAge() const {
-  return this->proven == Instant{}
+  return this->confirmed_at == Instant{}
              ? std::nullopt
-             : std::optional(this->clock->Now() - this->proven);
+             : std::optional(this->clock->Now() - this->confirmed_at);
 }
 
 bool FleetRelay::KeysProven() const {
--- a/packages/relay/fleet_relay.h
+++ b/packages/relay/fleet_relay.h
@@ -221,7 +221,7 @@
   FleetConfigurationPtr configuration;
   FleetEndpoints endpoints;
   int64_t hosts = 0;  // the most ever listed; 0: not listed yet
-  Instant proven{};
+  Instant confirmed_at{};
   Instant refresh_required_at{};    // of the last RequireRefresh
   bool endpoints_refreshed = true;  // listed since `refresh_required_at`
   std::optional<StopSchedule> stop;
--- a/packages/relay/fleet_source.cc
+++ b/packages/relay/fleet_source.cc
@@ -32,7 +32,7 @@
 
 void FleetSource::Start() {
   this->started_at = this->clock->Now();
-  this->proven = {};
+  this->proven_at = {};
   this->last_listed_at.reset();
   this->grace_until = {};
   this->listed.clear();
@@ -44,38 +44,38 @@
 
 void FleetSource::Tick() {
   const Instant now = this->clock->Now();
-  if (this->ShouldPoll(this->configuration, now)) {
+  if (this->ShouldPoll(this->configuration_poll, now)) {
     this->PollConfiguration(now);
   }
-  if (this->ShouldPoll(this->list, now)) {
+  if (this->ShouldPoll(this->endpoint_poll, now)) {
     this->PollEndpoints(now);
   }
   if (this->grace_until != Instant{} && now >= this->grace_until) {
     this->grace_until = {};
     this->PublishEndpoints(now);
   }
-  if (now - this->proven > this->options.ask_peers_after &&
+  if (now - this->proven_at > this->options.ask_peers_after &&
       now >= this->next_question) {
     this->AskPeers(now);
   }
 }
 
 bool FleetSource::ShouldPoll(const PollState& polling, Instant now) const {
-  const bool receiving =
-      polling.under_way > 0 && now - polling.last_progress < this->options.poll;
+  const bool receiving = polling.pending > 0 && now - polling.last_progress <
+                                                    this->options.poll_period;
   return now >= polling.next && !receiving &&
-         polling.under_way < this->options.max_pending_reads;
+         polling.pending < this->options.max_pending_reads;
 }
 
 void FleetSource::Read(PollState& polling,
                        const StoreTransaction& transaction,
                        std::function<void(StoreReply)> on_reply) {
-  ++polling.under_way;
+  ++polling.pending;
   this->store->TransactWithProgress(
       transaction,
       [this, &polling] { polling.last_progress = this->clock->Now(); },
       [&polling, on_reply = std::move(on_reply)](const StoreReply& reply) {
-        --polling.under_way;
+        --polling.pending;
         polling.last_progress = {};
         on_reply(reply);
       });
@@ -93,13 +93,14 @@
 
 std::optional<FreshnessAnswer> FleetSource::Answer(
     const FreshnessQuestion& question) const {
-  if (this->proven == Instant{} || this->record_revision < question.revision) {
+  if (this->proven_at == Instant{} ||
+      this->record_revision < question.revision) {
     return {};
   }
   return FreshnessAnswer{
       .number = question.number,
       .revision = this->record_revision,
-      .age = this->clock->Now() - this->proven,
+      .age = this->clock->Now() - this->proven_at,
       .record = this->record_revision > question.revision ? this->record : ""};
 }
 
@@ -121,7 +122,7 @@
 void FleetSource::PollConfigurationNow(int64_t version) {
   if (this->timer && version > this->newest_reported_version) {
     this->newest_reported_version = version;
-    this->configuration.next = {};
+    this->configuration_poll.next = {};
     this->Tick();
   }
 }
@@ -137,11 +138,11 @@
 }
 
 void FleetSource::PollConfiguration(Instant now) {
-  this->configuration.next =
+  this->configuration_poll.next =
       now + (this->record_revision == 0 ? this->options.first_poll_period
-                                        : this->options.poll);
+                                        : this->options.poll_period);
   const int64_t known_revision = this->record_revision;
-  this->Read(this->configuration, this->ReadIfNewer(known_revision),
+  this->Read(this->configuration_poll, this->ReadIfNewer(known_revision),
              [this, now, known_revision](const StoreReply& reply) {
                const bool unchanged =
                    known_revision > 0 && reply.outcome == StoreOutcome::kThen;
@@ -182,7 +183,7 @@
   if (revision < this->record_revision) {
     return;  // replies may arrive out of order
   }
-  const Instant previous_proof = this->proven;
+  const Instant previous_proof = this->proven_at;
   if (revision > this->record_revision) {
     auto parsed = this->records->ReadConfiguration(value);
     if (!parsed) {
@@ -193,7 +194,7 @@
     }
     this->record_revision = revision;
     this->record = value;
-    this->proven = {};  // the proof was for the previous record
+    this->proven_at = {};  // the proof was for the previous record
     this->LogConfigurationRead(asked, value.size(), parsed->version);
     this->handlers.on_configuration(
         std::make_shared<const FleetConfiguration>(std::move(*parsed)));
@@ -201,8 +202,8 @@
   if (asked - previous_proof > this->options.outage_after) {
     this->proof_regained_at = this->clock->Now();
   }
-  this->proven = std::max(this->proven, asked);
-  this->handlers.on_freshness_proof(this->proven);
+  this->proven_at = std::max(this->proven_at, asked);
+  this->handlers.on_freshness_proof(this->proven_at);
 }
 
 // The size, age and pending polls distinguish a slow store from a record that
@@ -216,15 +217,15 @@
            {"revision", std::to_string(this->record_revision)},
            {"bytes", std::to_string(bytes)},
            {"age_ms", std::to_string(age / std::chrono::milliseconds(1))},
-           {"pending_polls", std::to_string(this->configuration.under_way)},
+           {"pending_polls", std::to_string(this->configuration_poll.pending)},
            {"source", this->proven_by_peer ? "another host" : "the store"}});
 }
 
 void FleetSource::PollEndpoints(Instant now) {
-  this->list.next =
-      now + (this->last_listed_at ? this->options.poll
+  this->endpoint_poll.next =
+      now + (this->last_listed_at ? this->options.poll_period
                                   : this->options.first_poll_period);
-  this->Read(this->list,
+  this->Read(this->endpoint_poll,
              {.then = {{.kind = StoreOperation::Kind::kGetPrefix,
                         .key = this->records->EndpointPrefix()}}},
              [this, now](const StoreReply& reply) {
@@ -235,10 +236,11 @@
 }
 
 void FleetSource::ApplyEndpointList(Instant asked, const StoreReply& reply) {
-  if (reply.revision < this->list.revision || asked < this->started_at) {
+  if (reply.revision < this->endpoint_poll.revision ||
+      asked < this->started_at) {
     return;  // out of order, or requested before Start()
   }
-  this->list.revision = reply.revision;
+  this->endpoint_poll.revision = reply.revision;
   const Instant now = this->clock->Now();
   if (this->last_listed_at &&
       asked - *this->last_listed_at > this->options.outage_after &&
@@ -270,7 +272,7 @@
 // that it did, no entry expired because of an outage, and endpoints that are
 // missing from the list have left.
 bool FleetSource::StoreWasDown(Instant now) const {
-  return now - this->proven > this->options.outage_after ||
+  return now - this->proven_at > this->options.outage_after ||
          now - this->proof_regained_at < this->options.outage_grace;
 }
 
@@ -321,7 +323,7 @@
 void FleetSource::RecordReachability(bool now_reachable) {
   if (std::exchange(this->reachable, now_reachable) != now_reachable) {
     if (now_reachable) {
-      this->list.next = {};  // a leaving endpoint may have been missed
+      this->endpoint_poll.next = {};  // a leaving endpoint may have been missed
     }
     LogInfo(kPart, now_reachable ? "Store answers." : "Store doesn't answer.");
   }
--- a/packages/relay/fleet_source.h
+++ b/packages/relay/fleet_source.h
@@ -30,7 +30,7 @@
 struct FleetSourceOptions {
   // Period of polls, and so the maximum delay until a revoked key, a new route
   // or a leaving endpoint is seen; the tightest bound on these delays is 2 s.
-  Duration poll = std::chrono::milliseconds(1000);
+  Duration poll_period = std::chrono::milliseconds(1000);
   // Period until the first reply; shorter, as nothing is served before it.
   Duration first_poll_period = std::chrono::milliseconds(250);
   // Maximum concurrent reads of one kind. While the service is slow, the next
@@ -123,7 +123,7 @@
   // State of one kind of read.
   struct PollState {
     Instant next{};
-    int64_t under_way = 0;
+    int64_t pending = 0;
     int64_t revision = -1;    // of the newest reply that was applied
     Instant last_progress{};  // when a part of a reply last arrived
   };
@@ -133,12 +133,12 @@
   KeyValueStore* store;
   const FleetRecords* records;
   FleetSourceHandlers handlers;
-  PollState configuration;
-  PollState list;
+  PollState configuration_poll;
+  PollState endpoint_poll;
   int64_t record_revision = 0;  // of the configuration record last read
   std::string record;           // as stored, for hosts with an older one
   int64_t newest_reported_version = 0;  // by other hosts
-  Instant proven{};  // when that record was last known to be the newest
+  Instant proven_at{};  // when that record was last known to be the newest
   Instant proof_regained_at{};  // when proofs resumed after a gap on all hosts
   int64_t last_question = 0;
   std::map<int64_t, Instant> questions;  // to peers: time sent, by number
--- a/packages/relay/message_codec.h
+++ b/packages/relay/message_codec.h
@@ -39,7 +39,7 @@
 // Metadata from the headers of a caller's request.
 struct CallerRequest {
   RequestId id;
-  std::optional<Duration> patience;  // the caller's timeout
+  std::optional<Duration> timeout;  // the caller's timeout
   std::optional<std::string> key;
   std::string model;
   int64_t prompt_tokens = 0;
@@ -53,7 +53,7 @@
 // Metadata that the relay adds to the caller's message for an endpoint.
 struct EndpointCall {
   EndpointId endpoint;                  // any other process refuses the call
-  std::optional<Duration> patience;     // time left for the answer
+  std::optional<Duration> time_left;    // time left for the answer
   AccountId account;                    // empty: none
   std::optional<int64_t> priority;      // 0 (highest) to 9
   std::optional<int64_t> resume_after;  // last event forwarded to the caller
--- a/packages/relay/relayed_answer.cc
+++ b/packages/relay/relayed_answer.cc
@@ -137,7 +137,7 @@
   const auto keep = this->shared_from_this();
   this->stall_timer.reset();
   if (this->attempt->reading) {
-    this->OnRead(end);
+    this->OnPrefillEnd(end);
     return;
   }
   const RunResult fate = this->JudgeEnd(end);
@@ -153,7 +153,7 @@
       this->relay->answer_times.Add(now, kind, now - this->arrived);
       this->relay->run_times.Add(now, kind, now - current.sent);
     }
-    this->Over(std::to_string(current.status));
+    this->Complete(std::to_string(current.status));
     return;
   }
   if (fate == RunResult::kMayHaveRun && end == HttpEnd::kReset) {
@@ -169,7 +169,7 @@
   if (end == HttpEnd::kNotSent) {
     return RunResult::kNotRun;
   }
-  if (end != HttpEnd::kWhole) {
+  if (end != HttpEnd::kComplete) {
     return RunResult::kMayHaveRun;
   }
   return this->JudgeWhole();
@@ -235,11 +235,11 @@
 }
 
 // Handles the end of a prefill call.
-void RelayedRequest::OnRead(HttpEnd end) {
+void RelayedRequest::OnPrefillEnd(HttpEnd end) {
   const Instant now = this->relay->clock->Now();
   const Attempt ended = std::move(*this->attempt);
   this->attempt.reset();
-  const bool whole = end == HttpEnd::kWhole && ended.status == 200;
+  const bool whole = end == HttpEnd::kComplete && ended.status == 200;
   if (whole) {
     this->relay->placement.OnPrefillDone(now, ended.work);
   }
--- a/packages/relay/relayed_request.cc
+++ b/packages/relay/relayed_request.cc
@@ -116,7 +116,7 @@
                     .priority = this->route->priority};
   }
   const Duration timeout =
-      std::min(this->request.patience.value_or(this->route->timeout),
+      std::min(this->request.timeout.value_or(this->route->timeout),
                this->route->timeout);
   this->deadline = this->arrived + timeout;
   const auto found = this->configuration->services.find(this->service);
@@ -125,9 +125,9 @@
                            found->second.engine.has_value(),
                  .prompt_tokens = this->request.prompt_tokens,
                  .target = this->route->target_latency,
-                 .patience = timeout};
+                 .max_first_byte_wait = timeout};
   if (IsStream(this->route->kind)) {
-    this->shape.patience =
+    this->shape.max_first_byte_wait =
         std::min(timeout, this->relay->settings.max_stream_first_byte_wait);
   }
   for (const PromptPart& part : this->request.parts) {
@@ -304,7 +304,7 @@
     this->relay->limit_gate->Cancel(this->tokens.number);
   }
   if (std::exchange(this->tokens_held, false)) {
-    this->relay->limit_gate->GiveBack(this->account, this->tokens.cost);
+    this->relay->limit_gate->Refund(this->account, this->tokens.cost);
   }
 }
 
@@ -317,11 +317,11 @@
 void RelayedRequest::PlaceWithTokens() {
   const Instant now = this->relay->clock->Now();
   RequestProfile left = this->shape;
-  left.patience = std::min(left.patience, this->Left());
-  left.begun = this->StreamBegun() || this->may_have_run;
+  left.max_first_byte_wait = std::min(left.max_first_byte_wait, this->Left());
+  left.in_progress = this->StreamBegun() || this->may_have_run;
   const PlacementResult verdict =
       this->relay->placement.Place(now, left, this->tried);
-  if (const auto* refused = std::get_if<Refused>(&verdict)) {
+  if (const auto* refused = std::get_if<PlacementRefusal>(&verdict)) {
     const bool not_run = !this->StreamBegun() && !this->may_have_run;
     this->EndWithoutSending(ErrorKind::kNoEndpoint, refused->reason,
                             not_run
@@ -331,8 +331,8 @@
     return;
   }
   const PlacementTarget& placed = std::get<PlacementTarget>(verdict);
-  if (placed.reader && this->MayPrefillSeparately()) {
-    this->SendPrefill(*placed.reader, placed);
+  if (placed.prefill_endpoint && this->MayPrefillSeparately()) {
+    this->SendPrefill(*placed.prefill_endpoint, placed);
   } else {
     this->SendRun(placed, "");
   }
@@ -420,7 +420,7 @@
   }
   const std::optional<StopSchedule>& stop = this->relay->stop;
   if (stop && !this->StreamBegun() && !this->may_have_run &&
-      !CanFinish(stop->Left(now), this->Need(step))) {
+      !CanFinish(stop->Remaining(now), this->Need(step))) {
     this->caller->Decline();
     this->ReleaseHandle();
     this->EndWithoutSending(ErrorKind::kShuttingDown, "this host stops",
@@ -444,7 +444,7 @@
   whole.endpoint = next.endpoint.run.id;
   const Duration left =
       std::max(this->Left() - kEndpointDeadlineMargin, Duration{});
-  whole.patience = left;
+  whole.time_left = left;
   next.sent = now;
   next.work = this->relay->placement.OnSent(now, next.endpoint.run.id,
                                             this->shape, work);
@@ -463,14 +463,15 @@
        {"copied_tokens", std::to_string(work.copied_tokens)},
        {"left_ms", MillisecondsText(left)},
        {"expected_ms", MillisecondsText(this->attempt->expected)},
-       {"proof_ms", MillisecondsText(now - this->relay->proven)},
+       {"proof_ms", MillisecondsText(now - this->relay->confirmed_at)},
        {"configuration", std::to_string(this->configuration->version)}});
   this->attempt->exchange = this->relay->pool.Send(
       {.address = this->attempt->endpoint.address,
        .head = this->HeadFor(whole),
        .body = this->body,
        .no_answer_body = this->caller->Message().head.method == "HEAD",
-       .once = !IsRepeatable(this->route->kind) && !whole.read_prompt_only},
+       .at_most_once =
+           !IsRepeatable(this->route->kind) && !whole.read_prompt_only},
       {.on_head = [this](const Http1Head& head) { return this->OnHead(head); },
        .on_bytes = [this](std::string_view bytes) { this->OnBytes(bytes); },
        .on_end = [this](HttpEnd end) { this->OnEnd(end); }});
@@ -538,7 +539,7 @@
   }
   this->attempt->exchange->Cancel();
   if (this->attempt->reading) {
-    this->OnRead(HttpEnd::kSilent);
+    this->OnPrefillEnd(HttpEnd::kTimedOut);
     return;
   }
   const Instant now = this->relay->clock->Now();
@@ -568,7 +569,7 @@
     return;
   }
   this->EndAttempt();
-  this->Over("caller gone");
+  this->Complete("caller gone");
 }
 
 void RelayedRequest::Abandon() {
@@ -627,7 +628,7 @@
                                  std::optional<Duration> retry_after) {
   const int status = AnswerOwnError(*this->caller, *this->relay->metrics, kind,
                                     why, retry_after);
-  this->Over(std::to_string(status) + " " + std::string(why));
+  this->Complete(std::to_string(status) + " " + std::string(why));
 }
 
 void RelayedRequest::RefuseNotRun(std::string_view why, Duration retry_after) {
@@ -660,10 +661,10 @@
 
 void RelayedRequest::BreakOff(std::string_view why) {
   this->caller->Break();
-  this->Over("broken off: " + std::string(why));
+  this->Complete("broken off: " + std::string(why));
 }
 
-void RelayedRequest::Over(std::string_view outcome) {
+void RelayedRequest::Complete(std::string_view outcome) {
   const auto keep = this->shared_from_this();
   if (std::exchange(this->over, true)) {
     return;
--- a/packages/relay/relayed_request.h
+++ b/packages/relay/relayed_request.h
@@ -104,7 +104,7 @@
   bool OnHead(const Http1Head& head);
   void OnBytes(std::string_view bytes);
   void OnEnd(HttpEnd end);
-  void OnRead(HttpEnd end);
+  void OnPrefillEnd(HttpEnd end);
   void RecordOutcome(const Attempt& ended, bool good);
   void OnPromptHandle(const PromptHandle& handle, const EndpointId& reader);
   RunResult JudgeEnd(HttpEnd end);
@@ -132,7 +132,7 @@
                          std::string_view why,
                          Duration retry_after);
   void BreakOff(std::string_view why);
-  void Over(std::string_view outcome);
+  void Complete(std::string_view outcome);
 
   Duration Left() const;
 
--- a/packages/relay/request_forwarder.cc
+++ b/packages/relay/request_forwarder.cc
@@ -78,12 +78,13 @@
   });
 }
 
-void RequestForwarder::OnNews(const HostId& from, const SchedulerNews& news) {
-  this->choice.OnNews(from, {.ready = news.ready || news.last_resort,
-                             .busy = news.busy,
-                             .keys_proven = news.keys_proven,
-                             .version = news.configuration_version,
-                             .draining = news.draining});
+void RequestForwarder::OnSchedulerState(const HostId& from,
+                                        const SchedulerStatus& news) {
+  this->choice.OnState(from, {.ready = news.ready || news.last_resort,
+                              .busy = news.busy,
+                              .keys_proven = news.keys_proven,
+                              .version = news.configuration_version,
+                              .draining = news.draining});
 }
 
 void RequestForwarder::OnRequest(const CallerExchangePtr& caller) {
@@ -92,17 +93,17 @@
   call->arrived = this->clock->Now();
   const auto read = this->codec->ReadRequest(caller->Message().head.headers);
   if (!read) {
-    this->GiveUp(*call, read.error().kind,
-                 {read.error().message, kBadRequestLabel});
+    this->AnswerAndEnd(*call, read.error().kind,
+                       {read.error().message, kBadRequestLabel});
     return;
   }
   call->request = read->id;
-  const Duration timeout = read->patience.value_or(kDefaultCallerTimeout);
+  const Duration timeout = read->timeout.value_or(kDefaultCallerTimeout);
   // Schedulers know how long answers take, so they decide as long as requests
   // are accepted.
   if (this->stop && call->arrived >= this->stop->accept_until &&
       !this->stop->MayAccept(call->arrived, {.limit = timeout})) {
-    this->GiveUp(*call, ErrorKind::kShuttingDown, kStopping);
+    this->AnswerAndEnd(*call, ErrorKind::kShuttingDown, kStopping);
     return;
   }
   call->no_answer_deadline = call->arrived + timeout + kDeadlineMargin;
@@ -134,10 +135,10 @@
   const auto to =
       call->sends < kMaxSends ? this->choice.Choose(call->tried) : std::nullopt;
   if (!to) {
-    this->GiveUp(*call,
-                 call->UncertainSends() > 0 ? ErrorKind::kEndpointFailed
-                                            : ErrorKind::kNoEndpoint,
-                 kNoScheduler);
+    this->AnswerAndEnd(*call,
+                       call->UncertainSends() > 0 ? ErrorKind::kEndpointFailed
+                                                  : ErrorKind::kNoEndpoint,
+                       kNoScheduler);
     return;
   }
   const int64_t number = ++this->last_number;
@@ -174,9 +175,9 @@
       .earlier_sends = call.UncertainSends(),
       .resume_after = call.events.LastId(),
       .stream_begun = call.caller->Started(),
-      .finish_within = this->stop
-                           ? std::optional(this->stop->Left(this->clock->Now()))
-                           : std::nullopt};
+      .finish_within =
+          this->stop ? std::optional(this->stop->Remaining(this->clock->Now()))
+                     : std::nullopt};
   bool sent = this->send(to, first);
   for (size_t at = kBodyChunkBytes; sent && at < body.size();
        at += kBodyChunkBytes) {
@@ -304,11 +305,11 @@
   this->send(call->scheduler, ForwardControl{.number = number});
   this->End(number);
   const bool stops = this->clock->Now() < call->no_answer_deadline;
-  this->GiveUp(*call, ErrorKind::kTimeout, stops ? kStopping : kNoAnswer);
+  this->AnswerAndEnd(*call, ErrorKind::kTimeout, stops ? kStopping : kNoAnswer);
 }
 
 void RequestForwarder::OnLost(const HostId& scheduler) {
-  this->choice.OnLost(scheduler);
+  this->choice.OnLinkLost(scheduler);
   std::vector<CallPtr> lost;
   std::erase_if(this->calls, [&](const auto& entry) {
     const bool ours = entry.second->scheduler == scheduler;
@@ -321,7 +322,7 @@
   for (const CallPtr& call : lost) {
     this->LogCall(*call, "Scheduler lost.");
     if (call->caller->Started() && !call->streams) {
-      this->GiveUp(*call, ErrorKind::kBrokenAnswer, kSchedulerLost);
+      this->AnswerAndEnd(*call, ErrorKind::kBrokenAnswer, kSchedulerLost);
     } else {
       call->paused = false;
       call->events.DropPartialEvent();
@@ -332,7 +333,9 @@
 
 // Ends a request with an error answer of this host, or aborts the answer if its
 // head has been sent.
-void RequestForwarder::GiveUp(Call& call, ErrorKind kind, const Reason& why) {
+void RequestForwarder::AnswerAndEnd(Call& call,
+                                    ErrorKind kind,
+                                    const Reason& why) {
   this->metrics->Add("ingress_errors_total", 1,
                      {{"reason", std::string(why.label)}});
   call.deadline.reset();
--- a/packages/relay/request_forwarder.h
+++ b/packages/relay/request_forwarder.h
@@ -51,7 +51,7 @@
   // Inputs: the list of eligible schedulers, one scheduler's reported state, a
   // part of an answer, and the loss of the link to a scheduler.
   void SetSchedulers(const std::vector<FleetHost>& schedulers);
-  void OnNews(const HostId& from, const SchedulerNews& news);
+  void OnSchedulerState(const HostId& from, const SchedulerStatus& news);
   void OnAnswer(const HostId& from, const ForwardedAnswer& part);
   void OnLost(const HostId& scheduler);
 
@@ -122,7 +122,7 @@
   void End(int64_t number);
   void Cancel(int64_t number);
   void OnDeadline(int64_t number);
-  void GiveUp(Call& call, ErrorKind kind, const Reason& why);
+  void AnswerAndEnd(Call& call, ErrorKind kind, const Reason& why);
   void LogCall(const Call& call,
                std::string_view sentence,
                LogLevel level = LogLevel::kInfo);
--- a/tests/claims_test.cc
+++ b/tests/claims_test.cc
@@ -233,7 +233,7 @@
         } else if (const auto* run = std::get_if<RunTransaction>(&action)) {
           asked.emplace(now + milliseconds(2), *run);
         } else if (const auto* answer = std::get_if<AnswerClaim>(&action)) {
-          manager.Forget(answer->request);
+          manager.OnSent(answer->request);
           ++granted;
         }
       }
--- a/tests/ctl_test.cc
+++ b/tests/ctl_test.cc
@@ -54,14 +54,14 @@
     return this->address.host + ":" + std::to_string(this->address.port);
   }
 
-  std::atomic<int64_t> stays_at = 0;  // 0: none fixed
+  std::atomic<int64_t> reported_revision = 0;  // 0: none fixed
   std::atomic<bool> drained = false;
   std::string limits = "{}";  // in the status; set before the first call
 
  private:
   int64_t Revision() {
-    if (this->stays_at > 0) {
-      return this->stays_at;
+    if (this->reported_revision > 0) {
+      return this->reported_revision;
     }
     const auto stored = ReadStoredConfiguration(
         this->store.Transact(ReadConfigurationTransaction()));
@@ -351,7 +351,7 @@
   bench.Apply();
   bench.Run({"key", "add", "acme", "--json"});
   const std::string hash = Json::Parse(bench.out)->At("hash").Text();
-  bench.two.stays_at = 1;
+  bench.two.reported_revision = 1;
   LONGS_EQUAL(7,
               bench.Run({"key", "withdraw", hash, "--config", quick.Path()}));
   CHECK(Contains(bench.out, "dc1: in force"));
@@ -422,7 +422,7 @@
   bench.one.limits =
       R"({"window_ms":8000,"share":1,"share_age_ms":9,"accounts":[{"id":)"
       R"("acme","unit":"requests","rate":2.5,"burst":0,"used":0,"left":1}]})";
-  bench.two.stays_at = 1;
+  bench.two.reported_revision = 1;
   LONGS_EQUAL(0, bench.Run({"account", "use", "acme"}));
   CHECK(Contains(bench.out, "acme: 2.5 requests a second, burst 0"));
   CHECK(Contains(bench.out, "dc2 h2: no limit in force at revision 1"));
@@ -431,9 +431,9 @@
 TEST(Ctl, StatusShowsWhoIsBehindAndWhatIsCutOff) {
   Bench bench;
   bench.Apply();
-  bench.two.stays_at = 0;
+  bench.two.reported_revision = 0;
   bench.Run({"account", "add", "b"});
-  bench.two.stays_at = 1;
+  bench.two.reported_revision = 1;
   LONGS_EQUAL(0, bench.Run({"status"}));
   CHECK(Contains(bench.out, "dc1: lease held by h1 (fencing 7)"));
   CHECK(Contains(bench.out, "host h2  revision 1  BEHIND"));
@@ -476,7 +476,7 @@
 TEST(Ctl, ChangesGoAboveWhatHostsHoldAfterABackup) {
   Bench bench;
   bench.Apply();
-  bench.one.stays_at = 8;
+  bench.one.reported_revision = 8;
   LONGS_EQUAL(0, bench.Run({"account", "add", "b", "--no-wait"}));
   CHECK(Contains(bench.out, "Accepted as revision 9."));
 }
--- a/tests/endpoints_test.cc
+++ b/tests/endpoints_test.cc
@@ -27,8 +27,8 @@
   ClientBed() {
     this->task.Call([this] {
       EndpointClientOptions options;
-      options.control.first_byte = kPatience;
-      options.control.between_bytes = kPatience;
+      options.control.first_byte = kReplyTimeout;
+      options.control.between_bytes = kReplyTimeout;
       this->client = std::make_unique<EndpointClient>(options, this->metrics);
       this->orders = std::make_unique<OrderClient>();
     });
@@ -75,7 +75,7 @@
     return done.get_future().get();
   }
 
-  static constexpr Duration kPatience = std::chrono::milliseconds(300);
+  static constexpr Duration kReplyTimeout = std::chrono::milliseconds(300);
 
   Task task{"client"};
   Metrics metrics;
@@ -92,8 +92,8 @@
           .shape = AnswerShape::kBytes,
           .once = once,
           .timeouts = {.connect = std::chrono::seconds(1),
-                       .first_byte = ClientBed::kPatience,
-                       .between_bytes = ClientBed::kPatience}};
+                       .first_byte = ClientBed::kReplyTimeout,
+                       .between_bytes = ClientBed::kReplyTimeout}};
 }
 
 std::string PlainAnswer(int attempt) {
@@ -208,7 +208,7 @@
   CHECK(bed.Run(call).result.outcome == AttemptOutcome::kComplete);
   LONGS_EQUAL(1, connection_of_last.load());
   silent = true;
-  CHECK(bed.Run(call).result.outcome == AttemptOutcome::kSilent);
+  CHECK(bed.Run(call).result.outcome == AttemptOutcome::kStalled);
   silent = false;
   CHECK(bed.Run(call).result.outcome == AttemptOutcome::kComplete);
   CHECK(connection_of_last > 1);
--- a/tests/fleet_decisions_test.cc
+++ b/tests/fleet_decisions_test.cc
@@ -85,8 +85,8 @@
     const PlacementTarget first = PlacedAt(one, LongPrompt(part, 1000 + part));
     const PlacementTarget second =
         PlacedAt(other, LongPrompt(part, 2000 + part));
-    CHECK(first.reader == second.reader);
-    CHECK(first.reader || first.endpoint == second.endpoint);
+    CHECK(first.prefill_endpoint == second.prefill_endpoint);
+    CHECK(first.prefill_endpoint || first.endpoint == second.endpoint);
   }
 }
 
@@ -101,7 +101,7 @@
       HostId("peer"),
       {{.endpoint = EndpointId("r1"), .prompt_tokens = 38000, .requests = 3}});
   const PlacementTarget placed = PlacedAt(placement, LongPrompt(7, 8));
-  CHECK(placed.reader != EndpointId("r1"));
+  CHECK(placed.prefill_endpoint != EndpointId("r1"));
   CHECK(placed.copy_from == EndpointId("r1"));
   LONGS_EQUAL(3700, placed.new_tokens);
 }
@@ -158,7 +158,7 @@
     placement.ClearCache(EndpointId("r2"));
   }
   for (uint64_t part = 10; part < 30; ++part) {
-    CHECK(PlacedAt(placement, LongPrompt(part, 1000 + part)).reader !=
+    CHECK(PlacedAt(placement, LongPrompt(part, 1000 + part)).prefill_endpoint !=
           EndpointId("r1"));
   }
 }
@@ -190,9 +190,10 @@
   placement.OnWrongRole(At(0.9), EndpointId("r2"));
   const PlacementTarget placed = PlacedAt(placement, LongPrompt(1, 2));
   CHECK(placed.endpoint == EndpointId("g2"));
-  CHECK(!placed.reader);
+  CHECK(!placed.prefill_endpoint);
   placement.RemovePeer(HostId("peer"));
-  CHECK(PlacedAt(placement, LongPrompt(1, 2)).reader == EndpointId("r1"));
+  CHECK(PlacedAt(placement, LongPrompt(1, 2)).prefill_endpoint ==
+        EndpointId("r1"));
 }
 
 // All engines have four seconds of queued work and the caller's timeout is two
@@ -207,8 +208,8 @@
   }
   placement.OnPeerWork(HostId("peer"), work);
   const PlacementResult verdict = placement.Place(At(1), LongPrompt(1, 2), {});
-  CHECK(std::holds_alternative<Refused>(verdict));
-  const Duration wait = std::get<Refused>(verdict).retry_after;
+  CHECK(std::holds_alternative<PlacementRefusal>(verdict));
+  const Duration wait = std::get<PlacementRefusal>(verdict).retry_after;
   CHECK(wait > std::chrono::seconds(1) && wait < std::chrono::seconds(4));
 }
 
@@ -230,7 +231,8 @@
   }
   LONGS_EQUAL(2, sent[EndpointId("g1")]);
   LONGS_EQUAL(2, sent[EndpointId("g2")]);
-  CHECK(std::holds_alternative<Refused>(placement.Place(At(1), shape, {})));
+  CHECK(std::holds_alternative<PlacementRefusal>(
+      placement.Place(At(1), shape, {})));
 }
 
 // An engine with less memory than others: parts that no longer fit into its
@@ -270,12 +272,12 @@
       placement.Place(At(1), shape, {})));
   set_queued_tokens(10000);  // 264 ms at r1, more at g1
   const PlacementResult verdict = placement.Place(At(1), shape, {});
-  CHECK(std::holds_alternative<Refused>(verdict));
-  const Duration retry_time = std::get<Refused>(verdict).retry_after;
+  CHECK(std::holds_alternative<PlacementRefusal>(verdict));
+  const Duration retry_time = std::get<PlacementRefusal>(verdict).retry_after;
   CHECK(retry_time > std::chrono::milliseconds(20) &&
         retry_time < std::chrono::milliseconds(60));
   // A stream that broke midway is resumed all the same.
-  shape.begun = true;
+  shape.in_progress = true;
   CHECK(std::holds_alternative<PlacementTarget>(
       placement.Place(At(1), shape, {})));
 }
@@ -316,7 +318,7 @@
   const auto reader = [&](double at) {
     const PlacementResult verdict = placement.Place(At(at), shape, {});
     CHECK(std::holds_alternative<PlacementTarget>(verdict));
-    return std::get<PlacementTarget>(verdict).reader;
+    return std::get<PlacementTarget>(verdict).prefill_endpoint;
   };
   CHECK(!reader(1));
   for (int i = 0; i < 100; ++i) {
@@ -414,10 +416,10 @@
 constexpr double kInitialRate = 40000;  // tokens per second
 
 double EstimateFrom(const std::vector<SimulatedEngine>& engines, int readings) {
-  EnginePace pace({.prompt_tokens = kInitialRate});
+  EnginePace pace({.prefill_tokens_per_second = kInitialRate});
   for (int i = 0; i < readings; ++i) {
     const auto engine = static_cast<size_t>(i) % engines.size();
-    pace.OnRead(engines[engine].Read(3000 + 500 * (i % 7)));
+    pace.OnPrefill(engines[engine].Read(3000 + 500 * (i % 7)));
   }
   return pace.PrefillTokensPerSecond(EndpointRole::kPrefill);
 }
@@ -454,12 +456,12 @@
 // A host that has just started adopts the measurements of its peers, except
 // invalid figures and those with fewer measurements than its own.
 TEST(EnginePace, AHostThatHasJustStartedTakesOverWhatOthersKnow) {
-  EnginePace known({.prompt_tokens = kInitialRate});
+  EnginePace known({.prefill_tokens_per_second = kInitialRate});
   const SimulatedEngine fast{.tokens_per_second = 8 * kInitialRate};
   for (int i = 0; i < 100; ++i) {
-    known.OnRead(fast.Read(4000));
+    known.OnPrefill(fast.Read(4000));
   }
-  EnginePace fresh({.prompt_tokens = kInitialRate});
+  EnginePace fresh({.prefill_tokens_per_second = kInitialRate});
   PaceFigures broken = fresh.Figures();
   broken.token_prefill = {.seconds = 0, .measurements = 1000};
   fresh.Adopt(broken);
@@ -468,7 +470,8 @@
   fresh.Adopt(known.Figures());
   DOUBLES_EQUAL(known.PrefillTokensPerSecond(EndpointRole::kPrefill),
                 fresh.PrefillTokensPerSecond(EndpointRole::kPrefill), 1);
-  known.Adopt(EnginePace({.prompt_tokens = kInitialRate}).Figures());
+  known.Adopt(
+      EnginePace({.prefill_tokens_per_second = kInitialRate}).Figures());
   CHECK(known.PrefillTokensPerSecond(EndpointRole::kPrefill) >
         5 * kInitialRate);
 }
@@ -479,7 +482,7 @@
 // fifth of the window's requests plus a fixed slack.
 TEST(FleetRetryBudget, BoundsRepeatsInEveryWindow) {
   FleetRetryBudget budget(
-      {.window = std::chrono::seconds(10), .share = 0.2, .slack = 6});
+      {.window = std::chrono::seconds(10), .retry_ratio = 0.2, .slack = 6});
   budget.SetHosts(1);
   std::vector<Instant> retries;
   for (int i = 0; i < 600; ++i) {
@@ -506,7 +509,7 @@
   constexpr int kSlack = 218;
   int repeats = 0;
   for (int run = 0; run < 2 * kHosts; ++run) {
-    FleetRetryBudget budget({.share = 0, .slack = kSlack});
+    FleetRetryBudget budget({.retry_ratio = 0, .slack = kSlack});
     budget.SetHosts(kHosts);
     for (int i = 0; i < kSlack; ++i) {
       repeats += budget.Take(At(1), kService) ? 1 : 0;
@@ -519,7 +522,7 @@
 // A host that has just started doesn't know the number of hosts yet. It must
 // not use the shared slack, but its own requests allow retries.
 TEST(FleetRetryBudget, SpendsNoSlackBeforeTheHostsAreListed) {
-  FleetRetryBudget budget({.share = 0.2, .slack = 50});
+  FleetRetryBudget budget({.retry_ratio = 0.2, .slack = 50});
   CHECK(!budget.Take(At(1), kService));
   for (int i = 0; i < 5; ++i) {
     budget.OnRequest(At(1), kService);
@@ -575,8 +578,8 @@
   restarted.OnRequestStarted(14900, account);
   holder.Merge(*DecodeWindowCopy(EncodeWindowCopy(restarted.OwnCopy(16000))));
   LONGS_EQUAL(4, holder.Total(2).at(account));
-  CHECK(holder.Knows(HostId("h1"), 2));
-  CHECK(!holder.Knows(HostId("h3"), 2));
+  CHECK(holder.HasCompleteCounts(HostId("h1"), 2));
+  CHECK(!holder.HasCompleteCounts(HostId("h3"), 2));
 }
 
 // All hosts are restarted one after the other, and one that has just started
--- a/tests/fleet_topology_test.cc
+++ b/tests/fleet_topology_test.cc
@@ -230,7 +230,7 @@
   choice.SetSchedulers(
       {Host("s1", "a", 500), Host("s2", "a", 250), Host("s3", "b", 500)});
   for (const char* id : {"s1", "s2", "s3"}) {
-    choice.OnNews(HostId(id), Serving(1));
+    choice.OnState(HostId(id), Serving(1));
   }
   std::map<HostId, int> chosen;
   for (int i = 0; i < 90; ++i) {
@@ -249,9 +249,9 @@
   SchedulerChoice choice(ZoneId("a"));
   choice.SetSchedulers({Host("s1", "a", 500), Host("s2", "b", 500)});
   CHECK(!choice.Ready());
-  choice.OnNews(HostId("s1"), Serving(1));
-  choice.OnNews(HostId("s2"), Serving(1));
-  choice.OnLost(HostId("s1"));
+  choice.OnState(HostId("s1"), Serving(1));
+  choice.OnState(HostId("s2"), Serving(1));
+  choice.OnLinkLost(HostId("s1"));
   CHECK(choice.Choose({}) == HostId("s2"));
   CHECK(!choice.Choose({HostId("s2")}).has_value());
 }
@@ -264,7 +264,7 @@
   choice.SetSchedulers(
       {Host("w1", "a", 120), Host("w2", "a", 120), Host("s1", "b", 500)});
   for (const char* id : {"w1", "w2", "s1"}) {
-    choice.OnNews(HostId(id), Serving(1));
+    choice.OnState(HostId(id), Serving(1));
   }
   CHECK(choice.Choose({}) == HostId("s1"));
   CHECK(choice.Choose({HostId("s1")}) != HostId("s1"));
@@ -278,7 +278,7 @@
 // arrived before it was listed, or because it was missing from one list.
 TEST(SchedulerChoice, KeepsTheStatusOfAnUnlistedScheduler) {
   SchedulerChoice choice(ZoneId("a"));
-  choice.OnNews(HostId("s1"), Serving(1));
+  choice.OnState(HostId("s1"), Serving(1));
   CHECK(!choice.Ready());
   choice.SetSchedulers({Host("s1", "a", 500)});
   CHECK(choice.Ready());
@@ -286,7 +286,7 @@
   CHECK(!choice.Ready());
   choice.SetSchedulers({Host("s1", "a", 500)});
   CHECK(choice.Ready());
-  choice.OnLost(HostId("s1"));
+  choice.OnLinkLost(HostId("s1"));
   choice.SetSchedulers({Host("s1", "a", 500)});
   CHECK(!choice.Ready());
 }
@@ -297,12 +297,12 @@
 TEST(SchedulerChoice, NeverGoesBackToAnOlderConfiguration) {
   SchedulerChoice choice(ZoneId("a"));
   choice.SetSchedulers({Host("s1", "a", 500), Host("s2", "a", 500)});
-  choice.OnNews(HostId("s1"), Serving(4));
-  choice.OnNews(HostId("s2"), Serving(5));
+  choice.OnState(HostId("s1"), Serving(4));
+  choice.OnState(HostId("s2"), Serving(5));
   CHECK(choice.Choose({}) == HostId("s2"));
-  choice.OnLost(HostId("s2"));
+  choice.OnLinkLost(HostId("s2"));
   CHECK(!choice.Ready());
-  choice.OnNews(HostId("s1"), Serving(5));
+  choice.OnState(HostId("s1"), Serving(5));
   CHECK(choice.Ready());
 }
 
@@ -311,10 +311,10 @@
 TEST(SchedulerChoice, NeverChoosesASchedulerBehindThisHost) {
   SchedulerChoice choice(ZoneId("a"));
   choice.SetSchedulers({Host("s1", "a", 500)});
-  choice.OnNews(HostId("s1"), Serving(4));
+  choice.OnState(HostId("s1"), Serving(4));
   choice.NoteAppliedVersion(5);
   CHECK(!choice.Ready());
-  choice.OnNews(HostId("s1"), Serving(5));
+  choice.OnState(HostId("s1"), Serving(5));
   CHECK(choice.Choose({}) == HostId("s1"));
 }
 
@@ -322,10 +322,10 @@
 TEST(SchedulerChoice, PrefersSchedulersThatCanTrustKeys) {
   SchedulerChoice choice(ZoneId("a"));
   choice.SetSchedulers({Host("s1", "a", 500), Host("s2", "b", 500)});
-  choice.OnNews(HostId("s1"), {.ready = true, .version = 1});
-  choice.OnNews(HostId("s2"), Serving(1));
+  choice.OnState(HostId("s1"), {.ready = true, .version = 1});
+  choice.OnState(HostId("s2"), Serving(1));
   CHECK(choice.Choose({}) == HostId("s2"));
-  choice.OnLost(HostId("s2"));
+  choice.OnLinkLost(HostId("s2"));
   CHECK(choice.Choose({}) == HostId("s1"));
 }
 
@@ -334,8 +334,8 @@
 TEST(SchedulerChoice, AvoidsASchedulerThatIsStuck) {
   SchedulerChoice choice(ZoneId("a"));
   choice.SetSchedulers({Host("s1", "a", 500), Host("s2", "a", 500)});
-  choice.OnNews(HostId("s1"), Serving(1));
-  choice.OnNews(HostId("s2"), Serving(1));
+  choice.OnState(HostId("s1"), Serving(1));
+  choice.OnState(HostId("s2"), Serving(1));
   int to_stuck = 0;
   for (int i = 0; i < 100; ++i) {
     const HostId to = Chosen(choice);
@@ -357,15 +357,15 @@
       {Host("s1", "a", 500), Host("s2", "a", 500), Host("s3", "b", 500)});
   SchedulerState busy = Serving(1);
   busy.busy = true;
-  choice.OnNews(HostId("s1"), busy);
-  choice.OnNews(HostId("s2"), Serving(1));
-  choice.OnNews(HostId("s3"), Serving(1));
+  choice.OnState(HostId("s1"), busy);
+  choice.OnState(HostId("s2"), Serving(1));
+  choice.OnState(HostId("s3"), Serving(1));
   for (int i = 0; i < 10; ++i) {
     CHECK(choice.Choose({}) == HostId("s2"));
     choice.OnForwarded(HostId("s2"));
     choice.OnEnded(HostId("s2"));
   }
-  choice.OnNews(HostId("s2"), busy);
+  choice.OnState(HostId("s2"), busy);
   CHECK(choice.Choose({}) == HostId("s1"));
 }
 
@@ -376,9 +376,9 @@
   choice.SetSchedulers({Host("s1", "a", 500), Host("s2", "b", 250)});
   SchedulerState draining = Serving(1);
   draining.draining = true;
-  choice.OnNews(HostId("s1"), draining);
+  choice.OnState(HostId("s1"), draining);
   CHECK(choice.Choose({}) == HostId("s1"));
-  choice.OnNews(HostId("s2"), Serving(1));
+  choice.OnState(HostId("s2"), Serving(1));
   CHECK(choice.Choose({}) == HostId("s2"));
   CHECK(choice.Choose({HostId("s2")}) == HostId("s1"));
 }
@@ -391,10 +391,10 @@
       {Host("s1", "b", 500), Host("w1", "a", 120), Host("s2", "b", 500)});
   SchedulerState draining = Serving(1);
   draining.draining = true;
-  choice.OnNews(HostId("s1"), draining);
-  choice.OnNews(HostId("w1"), Serving(1));
+  choice.OnState(HostId("s1"), draining);
+  choice.OnState(HostId("w1"), Serving(1));
   CHECK(choice.Choose({}) == HostId("s1"));
-  choice.OnNews(HostId("s2"), Serving(1));
+  choice.OnState(HostId("s2"), Serving(1));
   CHECK(choice.Choose({}) == HostId("s2"));
 }
 
@@ -406,13 +406,13 @@
       {Host("s1", "a", 500), Host("s2", "a", 500), Host("s3", "a", 500)});
   SchedulerState draining = Serving(1);
   draining.draining = true;
-  choice.OnNews(HostId("s1"), draining);
-  choice.OnNews(HostId("s2"), Serving(1));
+  choice.OnState(HostId("s1"), draining);
+  choice.OnState(HostId("s2"), Serving(1));
   for (int i = 0; i < 50; ++i) {
     choice.OnForwarded(HostId("s2"));
     choice.OnEnded(HostId("s2"));
   }
-  choice.OnNews(HostId("s3"), Serving(1));
+  choice.OnState(HostId("s3"), Serving(1));
   int to_new = 0;
   for (int i = 0; i < 10; ++i) {
     const HostId to = Chosen(choice);
@@ -428,12 +428,12 @@
 TEST(SchedulerChoice, NewSchedulersBeginLevel) {
   SchedulerChoice choice(ZoneId("a"));
   choice.SetSchedulers({Host("s1", "a", 500), Host("s2", "a", 500)});
-  choice.OnNews(HostId("s1"), Serving(1));
+  choice.OnState(HostId("s1"), Serving(1));
   for (int i = 0; i < 50; ++i) {
     choice.OnForwarded(HostId("s1"));
     choice.OnEnded(HostId("s1"));
   }
-  choice.OnNews(HostId("s2"), Serving(1));
+  choice.OnState(HostId("s2"), Serving(1));
   int to_new = 0;
   for (int i = 0; i < 10; ++i) {
     const HostId to = Chosen(choice);
--- a/tests/gateway_bed.h
+++ b/tests/gateway_bed.h
@@ -252,7 +252,7 @@
   bool hold_tokens = false;
   int64_t charged_tokens = 0;  // charged and not refunded
   int64_t cancelled_limit_requests = 0;
-  LimitRequest last_ask;
+  LimitRequest last_limit_request;
 
  private:
   void AddAccount(const std::string& id, const char* key) {
@@ -301,7 +301,7 @@
             .take_tokens =
                 [this](const RequestId&, const LimitRequest& ask,
                        const std::function<void(const LimitDecision&)>& done) {
-                  this->last_ask = ask;
+                  this->last_limit_request = ask;
                   const auto answer = [this, cost = ask.cost, done] {
                     const LimitDecision decision = this->token_answer;
                     this->charged_tokens += decision.verdict.granted ? cost : 0;
--- a/tests/gateway_test.cc
+++ b/tests/gateway_test.cc
@@ -386,7 +386,7 @@
   bed.AddPlain("p1", service.Address());
   const CallerAnswer answer = bed.caller.Send(bed.Outgoing(
       "GET", "/services/filing/large?bytes=" + std::to_string(kBytes)));
-  CHECK(answer.end == HttpEnd::kWhole);
+  CHECK(answer.end == HttpEnd::kComplete);
   LONGS_EQUAL(kBytes, answer.body.size());
 }
 
@@ -778,7 +778,8 @@
     bed.caller.Send(bed.Outgoing(
         "POST", "/v1/completions",
         R"({"model":"m","max_tokens":1,)" + more + R"("prompt":"x"})"));
-    return bed.Ask<int64_t>([&](Gateway&) { return bed.last_ask.priority; });
+    return bed.Ask<int64_t>(
+        [&](Gateway&) { return bed.last_limit_request.priority; });
   };
   CHECK(priority_of("") < priority_of(R"("service_tier":"batch",)"));
 }
--- a/tests/http_test.cc
+++ b/tests/http_test.cc
@@ -74,7 +74,7 @@
     call->Answer(201, {{"X-A", "b"}}, call->Request().body + "!");
   });
   const Outcome outcome = pair.Send({.method = "POST", .body = "hello"});
-  CHECK(outcome.end == HttpEnd::kWhole);
+  CHECK(outcome.end == HttpEnd::kComplete);
   LONGS_EQUAL(201, outcome.status);
   STRCMP_EQUAL("hello!", outcome.body.c_str());
   STRCMP_EQUAL("b", FindHeader(outcome.headers, "x-a").value_or("").c_str());
@@ -88,7 +88,7 @@
     call->EndStream();
   });
   const Outcome outcome = pair.Send({});
-  CHECK(outcome.end == HttpEnd::kWhole);
+  CHECK(outcome.end == HttpEnd::kComplete);
   STRCMP_EQUAL("one two", outcome.body.c_str());
 }
 
--- a/tests/limits_search_test.cc
+++ b/tests/limits_search_test.cc
@@ -123,7 +123,7 @@
   double Sum() const {
     double sum = this->admitted;
     for (const AccountLimiter& host : this->hosts) {
-      sum += host.Held(this->now, kAccount);
+      sum += host.TokensHeld(this->now, kAccount);
     }
     for (const Message& message : this->messages) {
       sum += message.grant && !message.repeated
@@ -293,7 +293,7 @@
   double Sum() const {
     double sum = 0;
     for (const LimitShares& host : this->hosts) {
-      sum += host.Own(this->now);
+      sum += host.OwnShare(this->now);
     }
     return sum;
   }
--- a/tests/limits_test.cc
+++ b/tests/limits_test.cc
@@ -210,7 +210,7 @@
   shares.Start();
   call({.outcome = StoreOutcome::kThen, .revision = 1});
   call({.outcome = StoreOutcome::kThen, .revision = 2});
-  DOUBLES_EQUAL(1, shares.Own(now), 1e-9);
+  DOUBLES_EQUAL(1, shares.OwnShare(now), 1e-9);
   const StoreRecord marked{.key = LimitSharesOptions{}.key,
                            .value = "leaving a\nactive b\n",
                            .mod_revision = 3};
@@ -225,7 +225,7 @@
                          : StoreReply{.outcome = StoreOutcome::kNotApplied});
     }
   }
-  DOUBLES_EQUAL(0, shares.Own(now), 1e-9);
+  DOUBLES_EQUAL(0, shares.OwnShare(now), 1e-9);
 }
 
 TEST_GROUP(AccountLimiter){};
@@ -419,9 +419,9 @@
   const auto verdict =
       limiter.Take(now, {.number = 1, .account = kBig, .cost = 900000});
   CHECK(verdict && verdict->granted);
-  CHECK(limiter.Held(now, kBig) < 0);
+  CHECK(limiter.TokensHeld(now, kBig) < 0);
   limiter.SetLimits(now, {{kBig, {.rate = 1, .burst = 5}}});
-  DOUBLES_EQUAL(0, limiter.Held(now, kBig), 0);
+  DOUBLES_EQUAL(0, limiter.TokensHeld(now, kBig), 0);
 }
 
 TEST(WindowSum, ForgetsWhatIsOlderThanTheWindow) {
@@ -467,7 +467,7 @@
   world.Start();
   OfferEvenly(world, kBig, 10 * 400000, 9200, 1, [](int) { return 0; });
   world.ResetTallies();
-  world.GiveBack(0, kBig, 9200);
+  world.Refund(0, kBig, 9200);
   world.Offer(0, kBig, 9200);
   LONGS_EQUAL(1, world.Tally(kBig).admitted);
 }
@@ -486,10 +486,10 @@
   const TokenGrant grant{
       .number = want.number, .account = kBig, .tokens = want.tokens};
   limiter.OnGrant(now, to, grant);
-  const double held = limiter.Held(now, kBig);
+  const double held = limiter.TokensHeld(now, kBig);
   limiter.OnGrant(now, to, grant);
   limiter.OnGrant(now, HostId("f"), grant);
-  DOUBLES_EQUAL(held, limiter.Held(now, kBig), 1e-9);
+  DOUBLES_EQUAL(held, limiter.TokensHeld(now, kBig), 1e-9);
 }
 
 // Guards against refused callers that all retry at the same time.
--- a/tests/matrix.cc
+++ b/tests/matrix.cc
@@ -142,7 +142,8 @@
       ++tally.run;
       ++(HasFailed(report) ? tally.red : tally.passed);
       tally.stuck += HasFailed(report) && report.violations.empty() ? 1 : 0;
-      tally.not_reached += report.struck < std::ssize(cells[i]) ? 1 : 0;
+      tally.not_reached +=
+          report.faults_injected < std::ssize(cells[i]) ? 1 : 0;
       if (!report.violations.empty() && tally.first_violation.empty()) {
         tally.first_violation =
             report.violations.front() + " (" + CellName(cells[i]) + ")";
--- a/tests/membership_test.cc
+++ b/tests/membership_test.cc
@@ -149,9 +149,9 @@
     return this->members.OnHostMessage(this->now, HostId("a"), kHere,
                                        incarnation, false);
   };
-  CHECK(receive(7) == Heard::kCurrent);
-  CHECK(receive(6) == Heard::kSuperseded);
-  CHECK(receive(7) == Heard::kCurrent);
+  CHECK(receive(7) == SenderStatus::kCurrent);
+  CHECK(receive(6) == SenderStatus::kSuperseded);
+  CHECK(receive(7) == SenderStatus::kCurrent);
 }
 
 // This host itself was replaced while it was paused: a newer process has its
@@ -160,7 +160,7 @@
   this->members.OnHostMessage(this->now, HostId("b"), kHere, 4, false);
   CHECK(!this->members.Superseded());
   CHECK(this->members.OnHostMessage(this->now, HostId("b"), kHere, 6, false) ==
-        Heard::kSelf);
+        SenderStatus::kSelf);
   CHECK(this->members.Superseded());
 }
 
@@ -262,7 +262,7 @@
   const HostId a{"a"};
   const HostId b{"b"};
 
-  EndpointNews MakeStatus(uint64_t incarnation, bool leaving, bool down) {
+  EndpointStatus MakeStatus(uint64_t incarnation, bool leaving, bool down) {
     return {.endpoint = this->endpoint,
             .incarnation = incarnation,
             .leaving = leaving,
@@ -273,39 +273,39 @@
 // An endpoint leaves, and another host's older report still says that it is
 // available. It must receive no new work until it restarts.
 TEST(EndpointStatusTable, LeavingIsFinalWithinAnIncarnation) {
-  this->table.OnNews(this->a, this->MakeStatus(3, true, false));
-  this->table.OnNews(this->b, this->MakeStatus(3, false, false));
-  this->table.OnNews(this->a, std::vector<EndpointNews>{});
+  this->table.OnReport(this->a, this->MakeStatus(3, true, false));
+  this->table.OnReport(this->b, this->MakeStatus(3, false, false));
+  this->table.OnReport(this->a, std::vector<EndpointStatus>{});
   this->table.OnHostLost(this->a);
   this->table.OnAlive(this->endpoint, 3);
-  CHECK(this->table.Out(this->endpoint));
-  this->table.OnNews(this->b, this->MakeStatus(2, false, false));
-  CHECK(this->table.Out(this->endpoint));
+  CHECK(this->table.IsUnavailable(this->endpoint));
+  this->table.OnReport(this->b, this->MakeStatus(2, false, false));
+  CHECK(this->table.IsUnavailable(this->endpoint));
   this->table.OnAlive(this->endpoint, 4);
-  CHECK(!this->table.Out(this->endpoint));
+  CHECK(!this->table.IsUnavailable(this->endpoint));
 }
 
 // A host loses its connections to all endpoints and reports them as down. If
 // that report were final, the whole fleet would refuse requests. Each host must
 // accept it only until the endpoint itself responds.
 TEST(EndpointStatusTable, OneHostsBadViewDoesNotStopTheOthers) {
-  this->table.OnNews(this->a, this->MakeStatus(3, false, true));
-  CHECK(this->table.Out(this->endpoint));
+  this->table.OnReport(this->a, this->MakeStatus(3, false, true));
+  CHECK(this->table.IsUnavailable(this->endpoint));
   this->table.OnAlive(this->endpoint, 3);
-  CHECK(!this->table.Out(this->endpoint));
-  this->table.OnNews(this->a, this->MakeStatus(3, false, true));
-  CHECK(!this->table.Out(this->endpoint));
-  this->table.OnNews(this->b, this->MakeStatus(3, false, true));
-  CHECK(this->table.Out(this->endpoint));
+  CHECK(!this->table.IsUnavailable(this->endpoint));
+  this->table.OnReport(this->a, this->MakeStatus(3, false, true));
+  CHECK(!this->table.IsUnavailable(this->endpoint));
+  this->table.OnReport(this->b, this->MakeStatus(3, false, true));
+  CHECK(this->table.IsUnavailable(this->endpoint));
 }
 
 TEST(EndpointStatusTable, DownEndsWhenItIsWithdrawnOrItsReporterIsLost) {
-  this->table.OnNews(this->a, this->MakeStatus(3, false, true));
-  this->table.OnNews(this->b, this->MakeStatus(3, false, true));
-  this->table.OnNews(this->a, std::vector<EndpointNews>{});
-  CHECK(this->table.Out(this->endpoint));
+  this->table.OnReport(this->a, this->MakeStatus(3, false, true));
+  this->table.OnReport(this->b, this->MakeStatus(3, false, true));
+  this->table.OnReport(this->a, std::vector<EndpointStatus>{});
+  CHECK(this->table.IsUnavailable(this->endpoint));
   this->table.OnHostLost(this->b);
-  CHECK(!this->table.Out(this->endpoint));
+  CHECK(!this->table.IsUnavailable(this->endpoint));
 }
 
 // One host detects that an endpoint leaves, and its digest is lost on the way
@@ -329,13 +329,13 @@
         continue;
       }
       receivers[i].Apply(delta);
-      tables[i].OnNews(this->a, receivers[i].Current().endpoints);
+      tables[i].OnReport(this->a, receivers[i].Current().endpoints);
       sender.OnAck(to, receivers[i].Ack());
     }
   };
   const auto out = [&] {
     return std::ranges::count_if(tables, [&](const EndpointStatusTable& one) {
-      return one.Out(this->endpoint);
+      return one.IsUnavailable(this->endpoint);
     });
   };
   round(false);
--- a/tests/peer_group_test.cc
+++ b/tests/peer_group_test.cc
@@ -77,15 +77,18 @@
 
   const std::string id;
   PeerHost peer;
-  Digest own;                      // that it sends; change only in Do()
-  std::map<HostId, Digest> heard;  // read only in Do()
+  Digest own;  // that it sends; change only in Do()
+  std::map<HostId, Digest> received_digests;  // read only in Do()
 
  private:
   PeerGroupHandlers Handlers() {
     return {
         .on_digest =
-            [this](const Digest& digest) { this->heard[digest.host] = digest; },
-        .on_gone = [this](const HostId& host) { this->heard.erase(host); },
+            [this](const Digest& digest) {
+              this->received_digests[digest.host] = digest;
+            },
+        .on_gone =
+            [this](const HostId& host) { this->received_digests.erase(host); },
         .on_message = {}};
   }
 
@@ -121,7 +124,7 @@
 // The summary digest that a host has of all other data centres, under whichever
 // id; null if none.
 const Digest* RemoteSummary(const GroupHost& host) {
-  for (const auto& [id, digest] : host.heard) {
+  for (const auto& [id, digest] : host.received_digests) {
     if (id.Text().starts_with("elsewhere/")) {
       return &digest;
     }
@@ -163,12 +166,13 @@
     CHECK(host->WaitFor(
         [&](PeerGroup&) { return RemoteSummary(*host) != nullptr; }));
   }
-  const EndpointNews news{
+  const EndpointStatus news{
       .endpoint = EndpointId("e7"), .incarnation = 1, .leaving = true};
   fleet["a3"].Do([&](PeerGroup& group) { group.Announce(news); });
   for (const auto& [id, host] : fleet.hosts) {
-    CHECK(host->WaitFor(
-        [&](PeerGroup& group) { return group.Out(EndpointId("e7")); }));
+    CHECK(host->WaitFor([&](PeerGroup& group) {
+      return group.IsUnavailable(EndpointId("e7"));
+    }));
   }
 }
 
@@ -187,8 +191,8 @@
   CHECK(
       fleet["a2"].WaitFor([](PeerGroup& group) { return group.Rank() == 0; }));
   CHECK(fleet["a3"].WaitFor([&](PeerGroup&) {
-    return fleet["a3"].heard.contains(HostId("elsewhere/a2")) &&
-           !fleet["a3"].heard.contains(HostId("elsewhere/a1")) &&
+    return fleet["a3"].received_digests.contains(HostId("elsewhere/a2")) &&
+           !fleet["a3"].received_digests.contains(HostId("elsewhere/a1")) &&
            RemoteRequests(fleet["a3"]) == 3;
   }));
 }
--- a/tests/peers_test.cc
+++ b/tests/peers_test.cc
@@ -240,7 +240,7 @@
     std::string written = SealFrame(kSecret, "hello", hello);
     CHECK(this->Write(written));
     const std::string answer = this->ReadFrame().substr(kTagBytes);
-    this->key = Authenticate(kSecret, "session:" + hello + answer);
+    this->key = HmacSha256(kSecret, "session:" + hello + answer);
     written += this->Seal(PeerHeartbeat{});
     CHECK(this->Write(std::string_view(written).substr(
         written.size() -
@@ -598,7 +598,7 @@
       PeerMessage(UsageCopyMessage{
           .host = HostId("h"), .value = "figures", .time = 1787030001985}),
       PeerMessage(Released{.data_centre = DataCentreId("d"), .fencing = 8}),
-      PeerMessage(EndpointNews{
+      PeerMessage(EndpointStatus{
           .endpoint = EndpointId("e"), .incarnation = 1, .leaving = true}),
       PeerMessage(FreshnessQuestion{.number = 3, .revision = 40}),
       PeerMessage(FreshnessAnswer{.number = 3,
@@ -633,16 +633,16 @@
       PeerMessage(ForwardedAnswer{
           .number = 10, .end = AnswerEnd::kBroken, .declined = true}),
       PeerMessage(ForwardControl{.number = 9, .action = ForwardAction::kPause}),
-      PeerMessage(SchedulerNews{.scheduler = true,
-                                .busy = true,
-                                .ready = true,
-                                .keys_proven = true,
-                                .configuration_version = 12,
-                                .head_bytes = 16384,
-                                .body_bytes = 4096,
-                                .head_timeout = std::chrono::seconds(3),
-                                .idle_timeout = std::chrono::seconds(15)}),
-      PeerMessage(SchedulerNews{
+      PeerMessage(SchedulerStatus{.scheduler = true,
+                                  .busy = true,
+                                  .ready = true,
+                                  .keys_proven = true,
+                                  .configuration_version = 12,
+                                  .head_bytes = 16384,
+                                  .body_bytes = 4096,
+                                  .head_timeout = std::chrono::seconds(3),
+                                  .idle_timeout = std::chrono::seconds(15)}),
+      PeerMessage(SchedulerStatus{
           .scheduler = true, .draining = true, .last_resort = true}),
       PeerMessage(
           CacheUpdate{.engine = {.id = EndpointId("e"), .started = 5},
--- a/tests/platform_test.cc
+++ b/tests/platform_test.cc
@@ -31,11 +31,11 @@
 using fakes::FakeKeyValue;
 using fakes::KeyValueFault;
 
-constexpr auto kPatience = std::chrono::seconds(30);
+constexpr auto kWaitTimeout = std::chrono::seconds(30);
 
 // Polls until a condition holds; false after a long timeout.
 bool Eventually(const std::function<bool()>& holds) {
-  const auto until = std::chrono::steady_clock::now() + kPatience;
+  const auto until = std::chrono::steady_clock::now() + kWaitTimeout;
   while (!holds()) {
     if (std::chrono::steady_clock::now() > until) {
       return false;
@@ -301,7 +301,7 @@
   CHECK(read.outcome != StoreOutcome::kThen);
   const auto took = std::chrono::steady_clock::now() - started;
   CHECK(took > std::chrono::seconds(1));
-  CHECK(took < kPatience);
+  CHECK(took < kWaitTimeout);
 }
 
 // In an outage every filing needs a claim that cannot be made. Guards against
--- a/tests/policy_bench_test.cc
+++ b/tests/policy_bench_test.cc
@@ -84,7 +84,7 @@
   const auto trace = ReadTrace(path);
   CHECK(trace.has_value());
   LONGS_EQUAL(2, trace->size());
-  CHECK(trace->front().request.request_class == RequestClass::kOnce);
+  CHECK(trace->front().request.request_class == RequestClass::kAtMostOnce);
   std::ofstream(path) << "heading\n1,a1,language,urgent,1,0,1,5\n";
   const auto bad = ReadTrace(path);
   std::remove(path.c_str());
--- a/tests/policy_fixture.h
+++ b/tests/policy_fixture.h
@@ -89,15 +89,16 @@
     RequestClass request_class = RequestClass::kInteractive,
     const std::string& account = "a",
     double arrived = 0) {
-  return {.id = RequestId(id),
-          .account = AccountId(account),
-          .service = request_class == RequestClass::kOnce ? kFilings : kModel,
-          .request_class = request_class,
-          .prompt_tokens = 1000,
-          .output_tokens = 100,
-          .fingerprint = std::hash<std::string>()(id),
-          .arrived = At(arrived),
-          .deadline = At(arrived + 30)};
+  return {
+      .id = RequestId(id),
+      .account = AccountId(account),
+      .service = request_class == RequestClass::kAtMostOnce ? kFilings : kModel,
+      .request_class = request_class,
+      .prompt_tokens = 1000,
+      .output_tokens = 100,
+      .fingerprint = std::hash<std::string>()(id),
+      .arrived = At(arrived),
+      .deadline = At(arrived + 30)};
 }
 
 // Returns the load report of an idle, healthy endpoint.
--- a/tests/policy_parts_test.cc
+++ b/tests/policy_parts_test.cc
@@ -44,7 +44,7 @@
       add("large");
     }
     add("small");
-    const Waiting head = admission.Heads(At(0), kModel, 1).front();
+    const QueuedRequest head = admission.Heads(At(0), kModel, 1).front();
     admission.Start(At(0), head.request);
     small += head.account == AccountId("small");
   }
@@ -82,11 +82,11 @@
 // Feeds the planner a steady mix for `seconds` from `from`: per second,
 // `prompts` prompt-heavy and `answers` answer-heavy requests. Returns the end
 // time.
-double Feed(Planner& planner,
-            double from,
-            double seconds,
-            int prompts,
-            int answers) {
+double HashField(Planner& planner,
+                 double from,
+                 double seconds,
+                 int prompts,
+                 int answers) {
   double second = from;
   for (; second < from + seconds; ++second) {
     for (int i = 0; i < prompts; ++i) {
@@ -124,7 +124,7 @@
                       1000, false);
   };
   const auto serve = [&] {
-    const Waiting head = admission.Heads(At(0), kModel, 1).front();
+    const QueuedRequest head = admission.Heads(At(0), kModel, 1).front();
     admission.Start(At(0), head.request);
     return head.account;
   };
@@ -182,7 +182,7 @@
                                       j == 0 ? "large" : "small", i),
                           1000, false);
       }
-      const Waiting head = admission.Heads(At(i), kModel, 1).front();
+      const QueuedRequest head = admission.Heads(At(i), kModel, 1).front();
       admission.Start(At(i), head.request);
       arrived = head.request == RequestId("leaflet");
     }
@@ -301,7 +301,7 @@
 // is the probe; otherwise a service that only gets filings would never recover.
 TEST(Router, FilingIsTheProbeOnlyWhereNoOtherEndpointIs) {
   Request once = MakeRequest("once");
-  once.request_class = RequestClass::kOnce;
+  once.request_class = RequestClass::kAtMostOnce;
   for (const int endpoints : {1, 2}) {
     const ConfigurationPtr configuration =
         FleetBuilder().WithAccount("a").WithEndpoints(endpoints).Build();
@@ -361,7 +361,7 @@
 TEST(PrefixCache, MemoryIsBounded) {
   PrefixCache cache;
   for (uint64_t piece = 0; piece < 100000; ++piece) {
-    cache.Expect({piece});
+    cache.AssumeCached({piece});
   }
   CHECK(cache.Size() <= 8192);
 }
@@ -398,7 +398,7 @@
 // change to decode, at most one per data centre at a time.
 TEST(Placement, LastingMixMovesRoles) {
   Planner planner(kModel, Rates());
-  Feed(planner, 0, 600, 1, 14);
+  HashField(planner, 0, 600, 1, 14);
   const auto proposals =
       planner.ProposeRoleChanges(At(600), Engines(18, EndpointRole::kPrefill));
   CHECK(!proposals.empty() && proposals.size() <= 3);
@@ -421,8 +421,8 @@
   size_t changes = 0;
   double now = 0;
   for (int swing = 0; swing < 20; ++swing) {
-    now = Feed(planner, now, 60, swing % 2 == 0 ? 13 : 2,
-               swing % 2 == 0 ? 2 : 10);
+    now = HashField(planner, now, 60, swing % 2 == 0 ? 13 : 2,
+                    swing % 2 == 0 ? 2 : 10);
     for (const PlacementProposal& proposal :
          planner.ProposeRoleChanges(At(now), endpoints)) {
       changes += 1;
@@ -446,9 +446,9 @@
     endpoints[i].endpoint.cheap = i % 2 == 0;
     endpoints[i].endpoint.cost_per_hour = i % 2 == 0 ? 0.3 : 1;
   }
-  double now = Feed(planner, 0, 600, 1, 1);
+  double now = HashField(planner, 0, 600, 1, 1);
   for (int i = 0; i < 60; ++i) {
-    now = Feed(planner, now, 70, 1, 1);
+    now = HashField(planner, now, 70, 1, 1);
     const auto proposal =
         planner.ProposeCapacityChange(At(now), endpoints, 2, 18);
     if (!proposal) {
--- a/tests/policy_properties_test.cc
+++ b/tests/policy_properties_test.cc
@@ -93,7 +93,7 @@
                     this->random() % 2 == 0 ? "a" : "b", this->now);
     request.fingerprint = this->random() % 50;
     this->open.insert(request.id);
-    this->once[request.id] = request_class == RequestClass::kOnce;
+    this->once[request.id] = request_class == RequestClass::kAtMostOnce;
     this->Take(this->dispatcher->OnArrival(At(this->now), request));
   }
 
--- a/tests/policy_test.cc
+++ b/tests/policy_test.cc
@@ -18,7 +18,7 @@
 
 // Submits a filing, grants its claim and returns its only attempt.
 AttemptId SendFiling(Dispatcher& dispatcher) {
-  const Request filing = MakeRequest("f", RequestClass::kOnce);
+  const Request filing = MakeRequest("f", RequestClass::kAtMostOnce);
   CHECK(Only(dispatcher.OnArrival(At(0), filing), DispatchKind::kClaim));
   const DispatchList sent =
       dispatcher.OnClaim(At(0), filing.id, ClaimResult::kGranted);
@@ -54,7 +54,7 @@
 // filed it; a retry could file it twice and charge the user twice.
 TEST(Policy, FilingIsNeverSentAgainOnceBytesMayHaveLeft) {
   for (const Outcome outcome : {Outcome::kBroken, Outcome::kCrashed,
-                                Outcome::kSilent, Outcome::kWrongAnswer}) {
+                                Outcome::kStalled, Outcome::kWrongAnswer}) {
     auto dispatcher = MakeDispatcher(FleetBuilder()
                                          .WithAccount("a")
                                          .WithEndpoint("f1", kFilings)
@@ -91,7 +91,7 @@
 TEST(Policy, FilingClaimedElsewhereIsADuplicate) {
   auto dispatcher = MakeDispatcher(
       FleetBuilder().WithAccount("a").WithEndpoint("f1", kFilings).Build());
-  const Request filing = MakeRequest("f", RequestClass::kOnce);
+  const Request filing = MakeRequest("f", RequestClass::kAtMostOnce);
   dispatcher->OnArrival(At(0), filing);
   const DispatchList out =
       dispatcher->OnClaim(At(0), filing.id, ClaimResult::kTaken);
@@ -106,7 +106,7 @@
                                        .WithEndpoint("f1", kFilings, "z1", true)
                                        .Build());
   const DispatchList out =
-      dispatcher->OnArrival(At(0), MakeRequest("f", RequestClass::kOnce));
+      dispatcher->OnArrival(At(0), MakeRequest("f", RequestClass::kAtMostOnce));
   LONGS_EQUAL(0, Count(out, DispatchKind::kClaim));
   CHECK(ErrorKind::kDeadlineUnmeetable ==
         RefusalOf(dispatcher->OnTick(At(31))));
--- a/tests/protocol_simulation.cc
+++ b/tests/protocol_simulation.cc
@@ -221,7 +221,7 @@
 
 // If a message with a lower fencing number was sent after one with a higher
 // number had been received, two hosts acted as lease holder at the same time.
-void ModelPlatform::CheckSingleSender(Heard& heard,
+void ModelPlatform::CheckSingleSender(Sender& heard,
                                       Instant now,
                                       Instant sent,
                                       int64_t fencing,
@@ -322,7 +322,7 @@
   this->After(this->options.drain_at, [this] {
     ModelHost* holder = this->Holder();
     ModelHost& leaving = holder == nullptr ? this->AnyHost() : *holder;
-    this->Strike(Step::kDrain, leaving);
+    this->InjectFault(Step::kDrain, leaving);
     leaving.StartDrain();
     this->After(kReplacedAfter, [this] {
       this->AddHost(HostId("h" + std::to_string(++this->last_host)),
@@ -427,14 +427,14 @@
 
 // Returns the fault to inject at this step, or kNone. Faults that affect more
 // than the step's own message are applied here; the caller applies the others.
-Fault World::Strike(Step step, ModelHost& host) {
+Fault World::InjectFault(Step step, ModelHost& host) {
   if (this->injections.empty() || this->now < kFirstFault ||
       this->injections.front().step != step || !host.Alive()) {
     return Fault::kNone;
   }
   const Fault fault = this->injections.front().fault;
   this->injections.erase(this->injections.begin());
-  ++this->report.struck;
+  ++this->report.faults_injected;
   this->Apply(fault, host);
   // Guarded sends apply this pause themselves, after their lease check.
   if (fault == Fault::kPauseAfterCheck && !kGuardedSteps.contains(step)) {
--- a/tests/protocol_simulation.h
+++ b/tests/protocol_simulation.h
@@ -209,11 +209,11 @@
 
  private:
   // The highest fencing number received, and when it was first received.
-  struct Heard {
+  struct Sender {
     int64_t fencing = 0;
     Instant since{};
   };
-  void CheckSingleSender(Heard& heard,
+  void CheckSingleSender(Sender& heard,
                          Instant now,
                          Instant sent,
                          int64_t fencing,
@@ -221,8 +221,8 @@
 
   World& world;
   std::set<OrderId> tokens;
-  Heard last_order_sender;
-  std::map<int64_t, Heard> last_report_senders;
+  Sender last_order_sender;
+  std::map<int64_t, Sender> last_report_senders;
   std::map<int64_t, AccountUsage> windows;
 };
 
@@ -248,7 +248,7 @@
 struct WorldReport {
   std::vector<std::string> violations;  // of invariants, each once
   bool recovered = false;  // both kinds of orders continued after the faults
-  int64_t struck = 0;      // faults injected
+  int64_t faults_injected = 0;  // faults injected
   int64_t orders = 0;
   int64_t platform_orders = 0;
   int64_t windows = 0;
@@ -286,7 +286,7 @@
   void After(Duration delay, std::function<void()> event);
   void Violation(const std::string& what);
   void CheckOrderRecorded(const Order& order);
-  Fault Strike(Step step, ModelHost& host);
+  Fault InjectFault(Step step, ModelHost& host);
   bool Chance(double probability);
   Duration Between(Duration least, Duration most);
   // Returns the network delay of a message, or nullopt if it is lost.
--- a/tests/simulated_host.cc
+++ b/tests/simulated_host.cc
@@ -90,7 +90,7 @@
   }
 }
 
-void ModelHost::Leave(std::function<void()> bytes) {
+void ModelHost::SendBytes(std::function<void()> bytes) {
   if (!this->alive) {
     return;
   }
@@ -403,7 +403,7 @@
                           const Reply& refused,
                           const Reply& unknown,
                           const std::function<void(Reply)>& done) {
-  const Fault fault = this->world.Strike(step, *this);
+  const Fault fault = this->world.InjectFault(step, *this);
   auto waiting = std::make_shared<bool>(true);
   const auto answer = [this, waiting, done](const Reply& reply) {
     this->Deliver([waiting, done, reply] {
@@ -412,7 +412,7 @@
       }
     });
   };
-  this->Leave([this, fault, apply, refused, unknown, answer] {
+  this->SendBytes([this, fault, apply, refused, unknown, answer] {
     World& world = this->world;
     world.After(kCallTimeout, [answer, unknown] { answer(unknown); });
     if (world.Now() < this->store_partition_until) {
@@ -441,7 +441,7 @@
                             const std::function<bool()>& connected,
                             const std::function<Reply(Instant sent)>& receive,
                             const std::function<void(Reply)>& done) {
-  const Fault fault = this->world.Strike(send, *this);
+  const Fault fault = this->world.InjectFault(send, *this);
   auto waiting = std::make_shared<bool>(true);
   const auto settle = [this, waiting, done](Reply reply) {
     this->Deliver([waiting, done, reply] {
@@ -459,7 +459,7 @@
     if (fault == Fault::kPauseAfterCheck) {
       this->Pause(kLongPause);
     }
-    this->Leave([this, fault, answer, connected, receive, settle] {
+    this->SendBytes([this, fault, answer, connected, receive, settle] {
       World& world = this->world;
       const Instant sent = world.Now();
       world.After(kReplyTimeout, [settle] { settle(Reply::kNoReply); });
@@ -476,7 +476,8 @@
           return;
         }
         world.After(milliseconds(1), [=, this, &world] {
-          if (this->alive && world.Strike(answer, *this) != Fault::kReplyLost) {
+          if (this->alive &&
+              world.InjectFault(answer, *this) != Fault::kReplyLost) {
             settle(reply);
           }
         });
@@ -503,12 +504,12 @@
 }
 
 void ModelHost::Answer(const AnswerClaim& answer) {
-  const Fault replied = this->world.Strike(Step::kClaimReply, *this);
+  const Fault replied = this->world.InjectFault(Step::kClaimReply, *this);
   if (!this->alive || replied == Fault::kReplyLost) {
     return;
   }
   if (answer.result == ClaimResult::kGranted) {
-    const Fault fault = this->world.Strike(Step::kFilingSend, *this);
+    const Fault fault = this->world.InjectFault(Step::kFilingSend, *this);
     this->Deliver([this, request = answer.request, fault] {
       this->SendFiling(request, fault);
     });
@@ -529,7 +530,7 @@
     this->pending.extract(request).mapped().answer(FilingAnswer::kNotRun);
     return;
   }
-  this->claims.Forget(request);
+  this->claims.OnSent(request);
   if (fault == Fault::kPauseAfterCheck) {
     this->Pause(kLongPause);
   }
@@ -541,7 +542,7 @@
     });
   };
   const std::string key = this->pending.at(request).key;
-  this->Leave([this, request, key, fault, settle] {
+  this->SendBytes([this, request, key, fault, settle] {
     World& world = this->world;
     world.After(kReplyTimeout, [settle] { settle(FilingAnswer::kUnknown); });
     const std::optional<Duration> travel = world.NetworkDelay();
@@ -551,7 +552,7 @@
     world.After(*travel, [=, this, &world] {
       world.filings.Receive(key, request);
       if (fault != Fault::kReplyLost && this->alive &&
-          world.Strike(Step::kFilingReply, *this) != Fault::kReplyLost) {
+          world.InjectFault(Step::kFilingReply, *this) != Fault::kReplyLost) {
         settle(FilingAnswer::kDone);
       }
     });
--- a/tests/simulated_host.h
+++ b/tests/simulated_host.h
@@ -64,7 +64,7 @@
   // Runs `event` when the process is not paused; drops it if the host died.
   void Deliver(std::function<void()> event);
   // Sends bytes when the process is not paused; drops them if the host died.
-  void Leave(std::function<void()> bytes);
+  void SendBytes(std::function<void()> bytes);
   void Wake();
 
   void Tell(const std::function<void(CoordinatorActions&)>& event);
--- a/tests/soak.cc
+++ b/tests/soak.cc
@@ -44,7 +44,7 @@
 
 void SoakTally::Add(uint64_t seed, const WorldReport& report) {
   ++this->runs;
-  this->faults += report.struck;
+  this->faults += report.faults_injected;
   this->kills += report.kills;
   this->orders += report.orders;
   this->platform_orders += report.platform_orders;
