--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Targets for people and for CI. Each installs what it needs and builds first.
+# Targets for developers and CI. Each installs its dependencies and builds first.
 BUILD ?= build
 JOBS  ?= $(shell nproc)
 HOURS ?= 10
@@ -41,7 +41,7 @@
 bench: build
 	$(BUILD)/policy_bench --out $(BUILD)/bench
 
-# From the figures of the last `make bench`.
+# Uses the figures of the last `make bench`.
 plots:
 	mkdir -p docs/plots
 	gnuplot -e "csv='$(BUILD)/bench/policy.csv'; out='docs/plots'" bench/plots.gp
--- a/bench/plots.gp
+++ b/bench/plots.gp
@@ -1,5 +1,5 @@
-# One plot for each scenario: goodput and worst account share by policy, medians
-# over the seeds, with least and most. Run by `make plots`:
+# Draws one plot per scenario: goodput and the worst account share by policy, as
+# medians over the seeds with minimum and maximum. Run by `make plots`:
 #   gnuplot -e "csv='build/bench/policy.csv'; out='docs/plots'" bench/plots.gp
 set datafile separator ","
 set terminal svg size 900,420 font "sans,12" noenhanced
--- a/demo/fleet.sh
+++ b/demo/fleet.sh
@@ -1,10 +1,10 @@
-# A small fleet on loopback, for the demo and for the tests of real processes:
-# stand-ins for the platform, three engines and two plain services, and three
-# entry hosts in two data centres. To be sourced; it expects
+# Functions to run a small fleet on loopback, for the demo and for
+# tests/processes: stand-ins for the platform, three engines and two plain
+# services, and three hosts in two data centres. Source it with these set:
 #
 #   build   folder with the programs
-#   dir     folder for settings and logs, emptied here
-#   base    first port; the fleet takes the 500 above it
+#   dir     folder for settings and logs; its contents are deleted
+#   base    first port; the fleet uses the 500 ports from there
 
 rm -rf "$dir"
 mkdir -p "$dir"
@@ -39,7 +39,7 @@
   printf '%s' $! >"$dir/$name.pid"
 }
 
-wait_for() {  # WHAT COMMAND...: tries for 20 seconds
+wait_for() {  # WHAT COMMAND...: retries for up to 20 seconds
   local what=$1
   shift
   for _ in $(seq 200); do
@@ -86,7 +86,7 @@
   "$build/hickoryctl" --config "$dir/hickoryctl.ini" "$@"
 }
 
-# Settings of all hosts, and the stand-ins.
+# Writes the settings of all hosts and starts the stand-ins.
 start_stand_ins() {
   head -c 24 /dev/urandom | base64 >"$dir/fleet-secret"
   head -c 24 /dev/urandom | base64 >"$dir/admin-token"
@@ -118,7 +118,7 @@
 addresses = ${hosts_setting%;}
 token_file = $dir/admin-token
 INI
-  # The demo's files name ports from 17000 on.
+  # The demo's files use ports from 17000.
   sed "s/127.0.0.1:17/127.0.0.1:$((base / 1000))/" "$here/base.ini" >"$dir/base.ini"
 }
 
@@ -128,20 +128,21 @@
 }
 
 start_hosts() {
-  say "Starting three entry hosts"
+  say "Starting three hosts"
   local host
   for host in "${HOSTS[@]}"; do
-    "$build/hickorystandd" --config "$dir/$host.ini" --check || fail "settings of $host"
+    "$build/hickorystandd" --config "$dir/$host.ini" --check || fail "invalid settings of $host"
     start_host "$host"
   done
 }
 
-# Applies the demo's configuration and makes a key, in the variable `key`.
+# Applies the demo's configuration and creates a client key, in the variable
+# `key`.
 configure() {
   say "Applying the configuration"
-  ctl apply "$dir/base.ini" "$here/south.ini" || fail "apply"
+  ctl apply "$dir/base.ini" "$here/south.ini" || fail "the configuration could not be applied"
   key=$(ctl key add schools --json | sed -n 's/.*"key" *: *"\([^"]*\)".*/\1/p')
-  [ -n "$key" ] || fail "no key"
+  [ -n "$key" ] || fail "no client key was created"
   local host
   for host in "${HOSTS[@]}"; do
     wait_for "$host with endpoints" curl -sf "$(url "$host")/readyz"
@@ -158,7 +159,8 @@
   curl -sf "$(url "$1")/v1/models" -H "Authorization: Bearer $key"
 }
 
-# Files a petition; prints the HTTP status, the answer goes to $dir/filing.txt.
+# Files a petition, prints the HTTP status and saves the answer in
+# $dir/filing.txt.
 file_petition() {  # HOST IDEMPOTENCY-KEY
   curl -s -m 20 -o "$dir/filing.txt" -w '%{http_code}' \
     "$(url "$1")/services/petitions/petitions" -X POST \
@@ -166,7 +168,7 @@
     -H "Idempotency-Key: $2" -d '{"claim":"deposit"}'
 }
 
-# Asks for a streamed completion of eight tokens.
+# Requests a streamed completion of eight tokens.
 complete() {  # HOST
   curl -sfN -m 20 "$(url "$1")/v1/chat/completions" \
     -H "Authorization: Bearer $key" -H 'Content-Type: application/json' \
@@ -183,7 +185,7 @@
     kill -TERM "$(pid_of "$host")"
   done
   for host in "${HOSTS[@]}"; do
-    wait "$(pid_of "$host")" || fail "$host did not stop with 0"
+    wait "$(pid_of "$host")" || fail "$host did not exit with status 0"
     echo "$host stopped"
   done
 }
--- a/packages/peers/peers.thrift
+++ b/packages/peers/peers.thrift
@@ -1,8 +1,9 @@
-// What entry hosts say to each other. Compact protocol, one Message a frame;
-// peers/frame.h says how a frame is framed and authenticated.
+// The messages that hosts exchange over peer links, in Thrift's compact
+// protocol, one Message per frame. peers/frame.h describes the framing and the
+// authentication.
 //
-// Fields are only ever added, with new numbers: hosts of two releases talk to
-// each other while a fleet is being upgraded.
+// Fields are only added, always with new numbers, because hosts of two releases
+// exchange messages while a fleet is being upgraded.
 
 namespace cpp hickorystand.wire
 
@@ -12,20 +13,20 @@
   2: string data_centre
   3: i64 incarnation
   4: binary nonce
-  5: string receiver  // whom the dialling side believes to have reached
+  5: string receiver  // the host that the dialling side intended to reach
 }
 
-// Binds an index to an id for the rest of the sender's incarnation.
+// Assigns an index to an id for the rest of the sender's incarnation.
 struct Definition {
   1: i32 index
   2: string id
 }
 
-// The entries of one kind that changed, by columns of equal length: a struct
-// for each entry would cost a byte for each field again.
+// The changed entries of one kind, as columns of equal length: one struct per
+// entry would cost an extra byte for each field of each entry.
 struct Entries {
   1: list<Definition> definitions
-  2: list<i32> indexes  // each as its distance from the one before
+  2: list<i32> indexes  // delta-encoded: difference from the previous index
   3: list<i64> first
   4: list<i64> second
 }
@@ -42,21 +43,21 @@
   4: bool down
 }
 
-// What a receiver has of the digests of one scope.
+// Acknowledges the digests of one scope that the receiver has.
 struct Ack {
   1: i32 scope
-  2: optional i64 incarnation  // absent: the one of the session
+  2: optional i64 incarnation  // absent: that of the session
   3: i64 sequence
   4: optional bool gap
 }
 
-// A digest as what changed since the sequence `base` of the same incarnation.
-// Whose it is, and of which incarnation, is known from the session. The acks
-// are of the receiver's own digests.
+// A digest, as the changes since the sequence `base` of the same incarnation.
+// The session determines its host and incarnation. The acks refer to the
+// receiver's own digests.
 struct DigestDelta {
-  1: optional i32 scope  // DigestScope; absent: of the sending host alone
+  1: optional i32 scope  // DigestScope; absent: the sending host only
   4: i64 sequence
-  5: i64 base  // as its distance below the sequence
+  5: i64 base  // encoded as sequence minus base
   6: i64 configuration_revision
   7: optional bool leaving
   8: optional Entries outstanding
@@ -85,7 +86,7 @@
   1: string host
   2: i64 incarnation
   3: binary value
-  4: optional i64 time  // the sender's, Unix milliseconds
+  4: optional i64 time  // of the sender's clock, Unix milliseconds
 }
 
 struct Released {
@@ -94,31 +95,31 @@
   3: i64 incarnation
 }
 
-// Asks for proof that a record of the configuration is the newest.
+// Asks for proof that a record of the configuration is the newest one.
 struct FreshnessQuestion {
-  1: i64 number  // of the asking process, so that it knows when it asked
-  2: i64 revision  // of the record that it has
+  1: i64 number  // chosen by the asking process, to look up when it asked
+  2: i64 revision  // of the asking host's record
 }
 
-// When this was written, the record had been the newest `age` microseconds ago.
+// States that the record was the newest `age` microseconds before this answer
+// was written.
 struct FreshnessAnswer {
   1: i64 number
   2: i64 revision
   3: i64 age
-  4: optional binary record  // absent: the asking host has it
+  4: optional binary record  // absent: the asking host already has it
 }
 
-// A length of time that engines usually take for something, and how often it
-// was measured.
+// A typical duration of one engine operation, and its number of measurements.
 struct PaceFigure {
   1: double seconds
   2: i64 measurements
 }
 
-// What a host has learned of the engines of a service.
+// The durations that a host has measured for the engines of a service.
 struct ServicePace {
   1: string service_id
-  2: PaceFigure token_prefill  // to read one prompt token
+  2: PaceFigure token_prefill  // per prompt token
   3: PaceFigure token_decode
   4: PaceFigure first_token
   5: PaceFigure after_reading
@@ -134,15 +135,15 @@
   2: string value
 }
 
-// A caller's request on its way to a scheduler. A long body follows in parts.
+// A caller's request, forwarded to a scheduler. A long body follows in parts.
 struct ForwardedRequest {
-  1: i64 number  // of the sending process
+  1: i64 number  // unique within the sending process
   2: string method
   3: string target
   4: list<Header> headers
   5: binary body
   6: i64 body_length
-  7: i64 age  // microseconds since it was read
+  7: i64 age  // microseconds since the request was read
   8: optional i64 earlier_sends
   9: optional i64 resume_after
   10: optional bool stream_begun
@@ -157,12 +158,12 @@
 // The next part of the answer to a forwarded request.
 struct ForwardedAnswer {
   1: i64 number
-  2: optional i32 status  // with the head
+  2: optional i32 status  // sent with the head
   3: optional list<Header> headers
   4: optional i64 length
   5: optional binary bytes
   6: optional i32 ending  // AnswerEnd; absent: more follows
-  7: optional bool declined  // not run here; another scheduler may take it
+  7: optional bool declined  // not run by this scheduler; another one may run it
 }
 
 struct ForwardControl {
@@ -178,19 +179,19 @@
   5: i64 head_timeout  // microseconds
   6: i64 idle_timeout  // microseconds
   7: bool keys_proven
-  8: bool scheduler  // false: it is one no longer
+  8: bool scheduler  // false: no longer a scheduler
   9: bool busy
   10: optional bool draining
   11: optional bool last_resort
 }
 
-// What an engine keeps of prompts has changed.
+// Reports changes of an engine's prefix cache.
 struct CacheUpdate {
   1: string endpoint
-  2: i64 started  // the run of the endpoint, as EndpointRun has it
-  3: bool reset  // nothing else is kept
+  2: i64 started  // identifies the endpoint's run, as in EndpointRun
+  3: bool reset  // everything not listed here was dropped
   4: list<i64> parts  // hashes
-  5: list<i64> tokens  // for each part; 0: not kept any more
+  5: list<i64> tokens  // for each part; 0: no longer cached
 }
 
 struct ServiceLoad {
@@ -198,12 +199,12 @@
   2: double tokens_per_second
 }
 
-// Prompt tokens that the sender's requests ask engines to prefill.
+// The prompt tokens that the sender's requests require engines to prefill.
 struct PrefillLoad {
   1: list<ServiceLoad> services
 }
 
-// Asks for a part of a client account's limit.
+// Requests tokens from a client account's limit.
 struct TokenWant {
   1: i64 number  // of the sending process
   2: string account
@@ -212,12 +213,12 @@
   5: optional bool pull  // the sender pools the account's tokens
 }
 
-// The answer to a TokenWant. The tokens are the receiver's from now on.
+// The answer to a TokenWant. The granted tokens belong to the receiver.
 struct TokenGrant {
   1: i64 number
   2: string account
   3: i64 tokens
-  4: optional i64 retry_after  // microseconds; where there are no tokens
+  4: optional i64 retry_after  // microseconds; set if no tokens were granted
 }
 
 struct LimitTokens {
