--- a/demo/fleet.sh
+++ b/demo/fleet.sh
@@ -39,14 +39,14 @@
   printf '%s' $! >"$dir/$name.pid"
 }
 
-wait_for() {  # WHAT COMMAND...: retries for up to 20 seconds
+wait_for() {  # WHAT COMMAND...: retries for about 20 seconds
   local what=$1
   shift
   for _ in $(seq 200); do
     "$@" >/dev/null 2>&1 && return 0
     sleep 0.1
   done
-  fail "$what did not come up"
+  fail "timed out waiting for $what"
 }
 
 host_ports() {  # HOST -> caller, admin and peer port
