--- a/packages/ctl/session.h
+++ b/packages/ctl/session.h
@@ -125,7 +125,7 @@
 // other runs and programs.
 std::string RandomToken();
 
-// Writes changes as a JSON array. The hashes of API keys are shortened.
+// Writes changes as a JSON array. API keys are named by their whole hash.
 void WriteChanges(const std::vector<RecordChange>& changes, JsonWriter& out);
 
 }  // namespace hickorystand
