--- a/packages/peers/message.h
+++ b/packages/peers/message.h
@@ -8,10 +8,10 @@
 //   ForwardedRequest, ForwardedBody         request, ingress host to scheduler
 //   ForwardedHead, ForwardedAnswer          response, scheduler to ingress host
 //   AnswerEnd, ForwardAction, ForwardControl
-//   SchedulerNews                           state of the sending host
+//   SchedulerStatus                         state of the sending host
 //   PaceMessage, CacheUpdate, PrefillLoad   state of engines
 //   LimitTokens                             client accounts' rate limits
-//   PeerMessage                             any of these, or an EndpointNews
+//   PeerMessage                             any of these, or an EndpointStatus
 //
 //   links.Send(host, BucketsRequest{.above_revision = 7});
 
